--- a/chervilspindle/policy/limits.py
+++ b/chervilspindle/policy/limits.py
@@ -49,7 +49,7 @@
     return max(1, min(state.slots, int(state.limit)))
 
 
-def note_success(state: LimitState, service_ms: float, now: float):
+def record_success(state: LimitState, service_ms: float, now: float):
     """Raise the limit, or cut it when the endpoint has become slow."""
     if not state.samples:
         state = state._replace(service_ms=service_ms, baseline_ms=service_ms)
--- a/chervilspindle/policy/policy_test.py
+++ b/chervilspindle/policy/policy_test.py
@@ -41,7 +41,7 @@
     state = limits.build_limit(2, True)
     assert limits.get_limit(state) == 1
     for now in range(100):
-        state = limits.note_success(state, 10.0, float(now))
+        state = limits.record_success(state, 10.0, float(now))
     assert limits.get_limit(state) == 2
 
 
@@ -57,9 +57,9 @@
 def test_slow_answers_cut_the_limit():
     state = limits.build_limit(8, False)
     for now in range(50):
-        state = limits.note_success(state, 10.0, float(now))
+        state = limits.record_success(state, 10.0, float(now))
     for now in range(60):
-        state = limits.note_success(state, 200.0, 1000.0 + now * 50)
+        state = limits.record_success(state, 200.0, 1000.0 + now * 50)
     assert limits.get_limit(state) < 8
 
 
@@ -123,12 +123,12 @@
 def test_stall_is_told_from_a_single_late_request():
     state = limits.build_limit(2, False)
     for now in range(10):
-        state = limits.note_success(state, 10.0, float(now))
+        state = limits.record_success(state, 10.0, float(now))
     assert not limits.is_stalled(state, (100.0,), 250.0)
     assert limits.is_stalled(state, (100.0, 100.0), 250.0)
     assert not limits.is_stalled(state, (100.0,), 350.0)
     assert limits.is_stalled(state, (100.0,), 550.0)
-    state = limits.note_success(state, 10.0, 150.0)
+    state = limits.record_success(state, 10.0, 150.0)
     assert not limits.is_stalled(state, (100.0, 100.0), 400.0)
 
 
@@ -139,7 +139,7 @@
         state = limits.note_stall(state, now)
         pauses.append(state.stalled_until_ms - now)
     assert pauses == [1000.0, 2000.0, 4000.0]
-    state = limits.note_success(state, 10.0, 30000.0)
+    state = limits.record_success(state, 10.0, 30000.0)
     assert state.stalls == 0
     assert state.stalled_until_ms < 30000.0
 
@@ -147,9 +147,9 @@
 def test_estimate_recovers_soon_after_a_slow_phase():
     state = limits.build_limit(2, False)
     for now in range(50):
-        state = limits.note_success(state, 4000.0, float(now))
+        state = limits.record_success(state, 4000.0, float(now))
     for now in range(10):
-        state = limits.note_success(state, 10.0, 100.0 + now)
+        state = limits.record_success(state, 10.0, 100.0 + now)
     assert state.service_ms < 200.0
 
 
--- a/chervilspindle/query/owner.py
+++ b/chervilspindle/query/owner.py
@@ -457,7 +457,7 @@
             work.job.customer, service_ms - owned.limit.service_ms
         )
         if result.status == "ok":
-            owned.limit = limits.note_success(owned.limit, service_ms, now)
+            owned.limit = limits.record_success(owned.limit, service_ms, now)
         elif result.status == errors.ErrorKind.OVERLOADED.value:
             owned.limit = limits.note_shed(owned.limit, now)
             self.metrics.count_shed()
