--- a/chervilspindle/policy/limits.py
+++ b/chervilspindle/policy/limits.py
@@ -75,7 +75,7 @@
     return state._replace(limit=raised)
 
 
-def note_shed(state: LimitState, now: float) -> LimitState:
+def record_shed(state: LimitState, now: float) -> LimitState:
     """Cut the limit after the endpoint refused a request."""
     return _cut(state, SHED_FACTOR, now)
 
--- a/chervilspindle/policy/policy_test.py
+++ b/chervilspindle/policy/policy_test.py
@@ -48,9 +48,9 @@
 def test_shed_requests_cut_the_limit_once_a_pause():
     state = limits.build_limit(8, False)
     for now in (1000.0, 1001.0, 1002.0):
-        state = limits.note_shed(state, now)
+        state = limits.record_shed(state, now)
     assert limits.get_limit(state) == 4
-    state = limits.note_shed(state, 2000.0)
+    state = limits.record_shed(state, 2000.0)
     assert limits.get_limit(state) == 2
 
 
--- a/chervilspindle/query/owner.py
+++ b/chervilspindle/query/owner.py
@@ -459,7 +459,7 @@
         if result.status == "ok":
             owned.limit = limits.record_success(owned.limit, service_ms, now)
         elif result.status == errors.ErrorKind.OVERLOADED.value:
-            owned.limit = limits.note_shed(owned.limit, now)
+            owned.limit = limits.record_shed(owned.limit, now)
             self.metrics.count_shed()
 
     def answer(
