--- a/chervilspindle/policy/limits.py
+++ b/chervilspindle/policy/limits.py
@@ -105,7 +105,7 @@
     return now - min(started_ms) > late_ms
 
 
-def note_stall(state: LimitState, now: float) -> LimitState:
+def record_stall(state: LimitState, now: float) -> LimitState:
     """Pause an endpoint that stalled, longer each time, then try it again.
 
     This is a circuit breaker that lets one request through when half open
--- a/chervilspindle/policy/policy_test.py
+++ b/chervilspindle/policy/policy_test.py
@@ -136,7 +136,7 @@
     state = limits.build_limit(2, False)
     pauses = []
     for now in (0.0, 10000.0, 20000.0):
-        state = limits.note_stall(state, now)
+        state = limits.record_stall(state, now)
         pauses.append(state.stalled_until_ms - now)
     assert pauses == [1000.0, 2000.0, 4000.0]
     state = limits.record_success(state, 10.0, 30000.0)
--- a/chervilspindle/query/health.py
+++ b/chervilspindle/query/health.py
@@ -113,7 +113,7 @@
         started = [work.started_ms for work in owned.running.values()]
         if not limits.is_stalled(owned.limit, started, now):
             return
-        owned.limit = limits.note_stall(owned.limit, now)
+        owned.limit = limits.record_stall(owned.limit, now)
         logs.log_decision(
             "endpoint-stalled",
             endpoint=owned.row.endpoint_id,
