--- a/chervilspindle/policy/limits.py
+++ b/chervilspindle/policy/limits.py
@@ -117,7 +117,7 @@
     )
 
 
-def end_pause(state: LimitState) -> LimitState:
+def allow_probe(state: LimitState) -> LimitState:
     """Let the next request try an endpoint that was paused."""
     return state._replace(stalled_until_ms=-math.inf)
 
--- a/chervilspindle/query/owner.py
+++ b/chervilspindle/query/owner.py
@@ -331,7 +331,7 @@
             self._refuse(work, errors.ErrorKind.NOT_OWNER)
             return
         if part.insist:
-            owned.limit = limits.end_pause(owned.limit)
+            owned.limit = limits.allow_probe(owned.limit)
         if not owned.takes_work(now):
             self._refuse(work, errors.ErrorKind.NO_ENDPOINT)
             return
