--- a/chervilspindle/policy/hedging.py
+++ b/chervilspindle/policy/hedging.py
@@ -42,7 +42,7 @@
     return Budget(share, burst, burst if share else 0.0)
 
 
-def earn(budget: Budget, sends: int) -> Budget:
+def deposit(budget: Budget, sends: int) -> Budget:
     """Add the tokens that first sends bring."""
     tokens = budget.tokens + sends * budget.share
     return budget._replace(tokens=min(budget.burst, tokens))
--- a/chervilspindle/policy/policy_test.py
+++ b/chervilspindle/policy/policy_test.py
@@ -67,7 +67,7 @@
     budget = hedging.build_budget(0.05, 10.0)
     granted = 0
     for _ in range(10000):
-        budget = hedging.earn(budget, 1)
+        budget = hedging.deposit(budget, 1)
         budget, ok = hedging.spend(budget)
         granted += ok
     assert granted <= 10000 * 0.05 + 10
@@ -75,7 +75,7 @@
 
 def test_no_share_means_no_hedge():
     budget = hedging.build_budget(0.0, 10.0)
-    assert not hedging.spend(hedging.earn(budget, 1000))[1]
+    assert not hedging.spend(hedging.deposit(budget, 1000))[1]
 
 
 def note_all(latencies_by_service, share=0.05):
--- a/chervilspindle/query/gather.py
+++ b/chervilspindle/query/gather.py
@@ -221,9 +221,9 @@
                 )
             else:
                 chosen.append((shard, endpoint_id))
-        self.hedge_budget = hedging.earn(self.hedge_budget, len(chosen))
-        self.rescue_budget = hedging.earn(self.rescue_budget, len(chosen))
-        self.retry_budget = hedging.earn(self.retry_budget, len(chosen))
+        self.hedge_budget = hedging.deposit(self.hedge_budget, len(chosen))
+        self.rescue_budget = hedging.deposit(self.rescue_budget, len(chosen))
+        self.retry_budget = hedging.deposit(self.retry_budget, len(chosen))
         self._send_parts(query, chosen, "expected-finish")
         self._finish_if_settled(query)
 
