--- a/chervilspindle/policy/hedging.py
+++ b/chervilspindle/policy/hedging.py
@@ -48,7 +48,7 @@
     return budget._replace(tokens=min(budget.burst, tokens))
 
 
-def spend(budget: Budget):
+def try_withdraw(budget: Budget):
     """Take one token.
 
     Returns
--- a/chervilspindle/policy/policy_test.py
+++ b/chervilspindle/policy/policy_test.py
@@ -68,14 +68,14 @@
     granted = 0
     for _ in range(10000):
         budget = hedging.deposit(budget, 1)
-        budget, ok = hedging.spend(budget)
+        budget, ok = hedging.try_withdraw(budget)
         granted += ok
     assert granted <= 10000 * 0.05 + 10
 
 
 def test_no_share_means_no_hedge():
     budget = hedging.build_budget(0.0, 10.0)
-    assert not hedging.spend(hedging.deposit(budget, 1000))[1]
+    assert not hedging.try_withdraw(hedging.deposit(budget, 1000))[1]
 
 
 def note_all(latencies_by_service, share=0.05):
--- a/chervilspindle/query/gather.py
+++ b/chervilspindle/query/gather.py
@@ -333,9 +333,13 @@
 
     def _spend_hedge(self, is_rescue):
         if is_rescue:
-            self.rescue_budget, granted = hedging.spend(self.rescue_budget)
+            self.rescue_budget, granted = hedging.try_withdraw(
+                self.rescue_budget
+            )
         else:
-            self.hedge_budget, granted = hedging.spend(self.hedge_budget)
+            self.hedge_budget, granted = hedging.try_withdraw(
+                self.hedge_budget
+            )
         return granted
 
     def _refuse_hedge(self, query, shard, endpoint_id, is_rescue):
@@ -447,7 +451,9 @@
         if len(shard.tried) < MAX_SENDS and now < query.due_ms:
             endpoint_id = self._choose_retry(shard)
         if endpoint_id is not None and dispatched:
-            self.retry_budget, granted = hedging.spend(self.retry_budget)
+            self.retry_budget, granted = hedging.try_withdraw(
+                self.retry_budget
+            )
             if not granted:
                 endpoint_id = None
         if endpoint_id is None:
