--- a/chervilspindle/policy/hedging.py
+++ b/chervilspindle/policy/hedging.py
@@ -60,7 +60,7 @@
     return budget._replace(tokens=budget.tokens - 1.0), True
 
 
-class Lateness(typing.NamedTuple):
+class LatencyStats(typing.NamedTuple):
     """How late parts of all services are, against what is typical.
 
     One service gives too few samples for a high quantile, so the samples
@@ -85,8 +85,8 @@
 
 
 def note_latency(
-    state: Lateness, service: str, latency_ms: float, share: float
-) -> Lateness:
+    state: LatencyStats, service: str, latency_ms: float, share: float
+) -> LatencyStats:
     """Add a sample and renew the limit every so many samples.
 
     Parameters
@@ -153,7 +153,7 @@
     return unsettled <= shards * max_unsettled_share
 
 
-def get_delay_ms(state: Lateness, service: str) -> float:
+def get_delay_ms(state: LatencyStats, service: str) -> float:
     """Return after how long a part of a service is late, in ms."""
     typical = state.typical_ms_by_service.get(service)
     if typical is None or not state.limit:
--- a/chervilspindle/query/gather.py
+++ b/chervilspindle/query/gather.py
@@ -81,7 +81,7 @@
         )
         self.query_by_id = {}
         self.stats_by_endpoint = {}
-        self.lateness = hedging.Lateness(typical_ms_by_service={})
+        self.lateness = hedging.LatencyStats(typical_ms_by_service={})
         self.parts_by_customer = {}
         self.weight_by_customer = {}
         self.parts_in_flight = 0
