--- a/chervilspindle/policy/hedging.py
+++ b/chervilspindle/policy/hedging.py
@@ -84,7 +84,7 @@
     typical_ms_by_service: dict[str, float] = {}
 
 
-def note_latency(
+def record_latency(
     state: LatencyStats, service: str, latency_ms: float, share: float
 ) -> LatencyStats:
     """Add a sample and renew the limit every so many samples.
--- a/chervilspindle/policy/policy_test.py
+++ b/chervilspindle/policy/policy_test.py
@@ -81,7 +81,7 @@
 def note_all(latencies_by_service, share=0.05):
     state = hedging.LatencyStats(typical_ms_by_service={})
     for service, latency in latencies_by_service:
-        state = hedging.note_latency(state, service, latency, share)
+        state = hedging.record_latency(state, service, latency, share)
     return state
 
 
--- a/chervilspindle/query/gather.py
+++ b/chervilspindle/query/gather.py
@@ -417,7 +417,7 @@
         shard.value = reply.value
         shard.settled = True
         query.open_count -= 1
-        self.lateness = hedging.note_latency(
+        self.lateness = hedging.record_latency(
             self.lateness,
             shard.plan.service,
             now - shard.sent_ms,
