--- a/chervilspindle/policy/hedging.py
+++ b/chervilspindle/policy/hedging.py
@@ -153,7 +153,7 @@
     return unsettled <= shards * max_unsettled_share
 
 
-def get_delay_ms(state: LatencyStats, service: str) -> float:
+def get_hedge_delay_ms(state: LatencyStats, service: str) -> float:
     """Return after how long a part of a service is late, in ms."""
     typical = state.typical_ms_by_service.get(service)
     if typical is None or not state.limit:
--- a/chervilspindle/policy/policy_test.py
+++ b/chervilspindle/policy/policy_test.py
@@ -89,7 +89,7 @@
     times = [10.0 + number % 100 / 100.0 for number in range(400)]
     stragglers = [200.0 if number % 33 == 0 else 0.0 for number in range(400)]
     state = note_all(("s", t + w) for t, w in zip(times, stragglers))
-    delay = hedging.get_delay_ms(state, "s")
+    delay = hedging.get_hedge_delay_ms(state, "s")
     late = sum(1 for t, w in zip(times, stragglers) if t + w > delay)
     assert 400 / 33 <= late <= 400 * 0.05
 
@@ -98,21 +98,21 @@
     state = note_all(
         ("s", 210.0 if number % 10 == 0 else 10.0) for number in range(400)
     )
-    assert hedging.get_delay_ms(state, "s") < 60.0
+    assert hedging.get_hedge_delay_ms(state, "s") < 60.0
 
 
 def test_services_share_their_samples():
     state = note_all(
         (f"s{number % 20}", (1 + number % 20) * 10.0) for number in range(200)
     )
-    assert hedging.get_delay_ms(state, "s0") < 50.0
-    assert hedging.get_delay_ms(state, "s19") >= 200.0
+    assert hedging.get_hedge_delay_ms(state, "s0") < 50.0
+    assert hedging.get_hedge_delay_ms(state, "s19") >= 200.0
 
 
 def test_nothing_known_gives_the_default():
     state = note_all([("s", 1.0)])
-    assert hedging.get_delay_ms(state, "s") == hedging.DEFAULT_DELAY_MS
-    assert hedging.get_delay_ms(state, "t") == hedging.DEFAULT_DELAY_MS
+    assert hedging.get_hedge_delay_ms(state, "s") == hedging.DEFAULT_DELAY_MS
+    assert hedging.get_hedge_delay_ms(state, "t") == hedging.DEFAULT_DELAY_MS
 
 
 def test_endpoint_that_answers_nothing_is_avoided():
--- a/chervilspindle/query/gather.py
+++ b/chervilspindle/query/gather.py
@@ -277,7 +277,7 @@
     def _schedule_hedge(self, query, shard, now, kind="hedge"):
         if not self.may_hedge or len(shard.plan.endpoint_ids) < 2:
             return
-        delay = hedging.get_delay_ms(self.lateness, shard.plan.service)
+        delay = hedging.get_hedge_delay_ms(self.lateness, shard.plan.service)
         if now + delay < query.due_ms:
             item = (query.attempt, shard.index)
             self._schedule(now + delay, kind, query, item)
@@ -327,7 +327,7 @@
         self._send_parts(query, [(shard, endpoint_id)], reason)
 
     def _is_straggler(self, query, shard):
-        delay = hedging.get_delay_ms(self.lateness, shard.plan.service)
+        delay = hedging.get_hedge_delay_ms(self.lateness, shard.plan.service)
         late = (self.read_clock() - shard.sent_ms) / delay
         return hedging.is_straggler(len(query.shards), query.open_count, late)
 
