--- a/chervilspindle/query/gather.py
+++ b/chervilspindle/query/gather.py
@@ -311,7 +311,7 @@
             return
         if not self._is_straggler(query, shard):
             item = (query.attempt, shard.index)
-            due = self.read_clock() + hedging.RECHECK_MS
+            due = self.read_clock() + hedging.RECHECK_INTERVAL_MS
             kind = "rescue" if is_rescue else "hedge"
             self._schedule(due, kind, query, item)
             return
