--- a/chervilspindle/policy/fairness.py
+++ b/chervilspindle/policy/fairness.py
@@ -98,7 +98,7 @@
         if queue is not None:
             queue.virtual_ms += cost_ms / queue.weight
 
-    def forget_idle(self):
+    def evict_idle(self):
         """Drop accounts of customers that have no claim to lag behind."""
         for customer, queue in list(self.queue_by_customer.items()):
             if not queue.live and queue.virtual_ms <= self.virtual_ms:
--- a/chervilspindle/query/owner.py
+++ b/chervilspindle/query/owner.py
@@ -252,7 +252,7 @@
             if is_full_pass:
                 self.health.check_heard(owned, now)
                 self.health.check_suspect(owned, now)
-                owned.queue.forget_idle()
+                owned.queue.evict_idle()
         for owned in list(self.closing):
             self._check_running(owned, now)
             if not owned.running:
