--- a/chervilspindle/policy/fairness.py
+++ b/chervilspindle/policy/fairness.py
@@ -79,12 +79,12 @@
             item = heapq.heappop(queue.items)
             if not self.is_live(item.payload):
                 continue
-            self.drop(customer)
+            self.count_removed(customer)
             self.virtual_ms = max(self.virtual_ms, queue.virtual_ms)
             queue.virtual_ms += cost_ms / queue.weight
             return customer, item.payload
 
-    def drop(self, customer: str):
+    def count_removed(self, customer: str):
         """Count out one payload that was taken or cancelled."""
         queue = self.queue_by_customer[customer]
         queue.live -= 1
--- a/chervilspindle/policy/fairness_test.py
+++ b/chervilspindle/policy/fairness_test.py
@@ -14,7 +14,7 @@
     queue.push("c", 1.0, 0, "b")
     for payload in ("a", "b"):
         live.discard(payload)
-        queue.drop("c")
+        queue.count_removed("c")
     assert queue.count_ahead("c", 5) == 0
     assert queue.size == 0
 
--- a/chervilspindle/query/owner.py
+++ b/chervilspindle/query/owner.py
@@ -510,7 +510,7 @@
     def refuse_queue(self, owned, kind):
         """Refuse all that waits at an endpoint, as never dispatched."""
         for customer, work in owned.queue.list_lowest():
-            owned.queue.drop(customer)
+            owned.queue.count_removed(customer)
             self._refuse(work, kind)
 
     def _expire_queue(self, owned, now):
@@ -519,7 +519,7 @@
         needed = self._get_least_ms(owned)
         for customer, work in owned.queue.list_lowest():
             if work.due_ms - now < needed:
-                owned.queue.drop(customer)
+                owned.queue.count_removed(customer)
                 self._refuse(work, errors.ErrorKind.DEADLINE)
 
     def _get_least_ms(self, owned):
@@ -557,7 +557,7 @@
         owned = self.owned_by_id.get(work.job.part.endpoint_id)
         work.answered = True
         if work.state == owned_module.QUEUED and owned is not None:
-            owned.queue.drop(work.job.customer)
+            owned.queue.count_removed(work.job.customer)
             self._forget(work)
             work.state = owned_module.ENDED
         elif work.state == owned_module.RUNNING:
