--- a/chervilspindle/policy/fairness.py
+++ b/chervilspindle/policy/fairness.py
@@ -127,7 +127,7 @@
         )
         return weight / (weight + total)
 
-    def list_lowest(self):
+    def list_least_urgent(self):
         """Return (customer, payload) pairs, the least urgent first."""
         found = []
         for customer, queue in self.queue_by_customer.items():
--- a/chervilspindle/query/owner.py
+++ b/chervilspindle/query/owner.py
@@ -509,7 +509,7 @@
 
     def refuse_queue(self, owned, kind):
         """Refuse all that waits at an endpoint, as never dispatched."""
-        for customer, work in owned.queue.list_lowest():
+        for customer, work in owned.queue.list_least_urgent():
             owned.queue.count_removed(customer)
             self._refuse(work, kind)
 
@@ -517,7 +517,7 @@
         if not owned.queue.size:
             return
         needed = self._get_least_ms(owned)
-        for customer, work in owned.queue.list_lowest():
+        for customer, work in owned.queue.list_least_urgent():
             if work.due_ms - now < needed:
                 owned.queue.count_removed(customer)
                 self._refuse(work, errors.ErrorKind.DEADLINE)
