--- a/chervilspindle/policy/admission.py
+++ b/chervilspindle/policy/admission.py
@@ -43,7 +43,7 @@
     return QueueEstimate(wait, wait + service_ms)
 
 
-def is_hopeless(estimate: QueueEstimate, remaining_ms: float) -> bool:
+def would_miss_deadline(estimate: QueueEstimate, remaining_ms: float) -> bool:
     """Tell whether a request can't finish within its deadline.
 
     Margins keep out requests that would run and end too late: under
--- a/chervilspindle/policy/admission_test.py
+++ b/chervilspindle/policy/admission_test.py
@@ -5,13 +5,13 @@
 
 def test_idle_endpoint_is_tried_however_slow_it_was():
     estimate = admission.estimate_queue(0, 0, 2, 5000.0, 1.0)
-    assert not admission.is_hopeless(estimate, 100.0)
+    assert not admission.would_miss_deadline(estimate, 100.0)
 
 
 def test_request_behind_a_long_queue_is_refused_at_once():
     estimate = admission.estimate_queue(50, 2, 2, 20.0, 1.0)
     assert estimate.wait_ms == 10.0 + 500.0
-    assert admission.is_hopeless(estimate, 300.0)
+    assert admission.would_miss_deadline(estimate, 300.0)
     retry_after = admission.compute_retry_after_ms(estimate, 300.0)
     assert retry_after == 230
 
@@ -25,7 +25,7 @@
 
 def test_expired_request_is_hopeless():
     estimate = admission.estimate_queue(0, 0, 2, 20.0, 1.0)
-    assert admission.is_hopeless(estimate, 0.0)
+    assert admission.would_miss_deadline(estimate, 0.0)
 
 
 def test_entry_admits_all_while_there_is_room():
--- a/chervilspindle/query/owner.py
+++ b/chervilspindle/query/owner.py
@@ -338,7 +338,7 @@
         estimate = self._estimate(owned, work.job)
         remaining = work.due_ms - now
         if (
-            admission.is_hopeless(estimate, remaining)
+            admission.would_miss_deadline(estimate, remaining)
             or owned.queue.size >= MAX_QUEUED
         ):
             retry_after = admission.compute_retry_after_ms(estimate, remaining)
