--- a/chervilspindle/policy/admission.py
+++ b/chervilspindle/policy/admission.py
@@ -5,7 +5,7 @@
 MAX_RETRY_AFTER_MS = 30000
 MIN_RETRY_AFTER_MS = 50
 MIN_PARTS_PER_CUSTOMER = 200
-SERVICE_MARGIN = 1.0
+SERVICE_TIME_FACTOR = 1.0
 WAIT_MARGIN = 1.2
 
 
@@ -54,7 +54,7 @@
     if estimate.wait_ms <= 0:
         return remaining_ms <= 0
     service = estimate.finish_ms - estimate.wait_ms
-    needed = WAIT_MARGIN * estimate.wait_ms + SERVICE_MARGIN * service
+    needed = WAIT_MARGIN * estimate.wait_ms + SERVICE_TIME_FACTOR * service
     return needed > remaining_ms
 
 
--- a/chervilspindle/query/owner.py
+++ b/chervilspindle/query/owner.py
@@ -529,7 +529,7 @@
         """
         if not owned.running:
             return 0.0
-        return admission.SERVICE_MARGIN * owned.limit.service_ms
+        return admission.SERVICE_TIME_FACTOR * owned.limit.service_ms
 
     def _check_running(self, owned, now):
         for work in list(owned.running.values()):
