--- a/chervilspindle/policy/rates.py
+++ b/chervilspindle/policy/rates.py
@@ -53,7 +53,7 @@
     return Verdict(Bucket(tokens - 1.0, now), True, 0)
 
 
-def forget_oldest(bucket_by_customer: dict) -> dict:
+def evict_oldest(bucket_by_customer: dict) -> dict:
     """Return the buckets without those that were not used for longest."""
     if len(bucket_by_customer) <= CUSTOMERS_KEPT:
         return bucket_by_customer
--- a/chervilspindle/policy/rates_test.py
+++ b/chervilspindle/policy/rates_test.py
@@ -44,6 +44,6 @@
         f"c{n}": rates.Bucket(1.0, float(n))
         for n in range(rates.CUSTOMERS_KEPT + 1)
     }
-    kept = rates.forget_oldest(buckets)
+    kept = rates.evict_oldest(buckets)
     assert len(kept) == rates.CUSTOMERS_KEPT // 2
     assert f"c{rates.CUSTOMERS_KEPT}" in kept
--- a/chervilspindle/query/entry.py
+++ b/chervilspindle/query/entry.py
@@ -322,7 +322,7 @@
         if not rate:
             return
         vms = self.directory.ready_vms
-        buckets = rates.forget_oldest(self.bucket_by_customer)
+        buckets = rates.evict_oldest(self.bucket_by_customer)
         verdict = rates.take(
             buckets.get(grant.customer), rate, max(1, vms), self.read_clock()
         )
