--- a/chervilspindle/policy/rates.py
+++ b/chervilspindle/policy/rates.py
@@ -27,7 +27,9 @@
     retry_after_ms: int
 
 
-def take(bucket: Bucket | None, rate: float, vms: int, now: float) -> Verdict:
+def take_token(
+    bucket: Bucket | None, rate: float, vms: int, now: float
+) -> Verdict:
     """Take a token for one request.
 
     Parameters
--- a/chervilspindle/policy/rates_test.py
+++ b/chervilspindle/policy/rates_test.py
@@ -10,7 +10,7 @@
     granted = 0
     now = 1000.0
     while now < 1000.0 + duration_ms:
-        verdict = rates.take(bucket, rate, vms, now)
+        verdict = rates.take_token(bucket, rate, vms, now)
         bucket = verdict.bucket
         granted += verdict.granted
         now += period_ms
@@ -31,12 +31,12 @@
 
 def test_time_to_come_back_is_honest():
     bucket = rates.Bucket(0.0, 0.0)
-    verdict = rates.take(bucket, 4.0, 2, 0.0)
+    verdict = rates.take_token(bucket, 4.0, 2, 0.0)
     assert not verdict.granted
     assert verdict.retry_after_ms == 501
     later = float(verdict.retry_after_ms)
-    assert not rates.take(verdict.bucket, 4.0, 2, later - 20.0).granted
-    assert rates.take(verdict.bucket, 4.0, 2, later).granted
+    assert not rates.take_token(verdict.bucket, 4.0, 2, later - 20.0).granted
+    assert rates.take_token(verdict.bucket, 4.0, 2, later).granted
 
 
 def test_only_so_many_customers_are_kept():
--- a/chervilspindle/query/entry.py
+++ b/chervilspindle/query/entry.py
@@ -323,7 +323,7 @@
             return
         vms = self.directory.ready_vms
         buckets = rates.evict_oldest(self.bucket_by_customer)
-        verdict = rates.take(
+        verdict = rates.take_token(
             buckets.get(grant.customer), rate, max(1, vms), self.read_clock()
         )
         buckets[grant.customer] = verdict.bucket
