--- a/chervilspindle/policy/replicas.py
+++ b/chervilspindle/policy/replicas.py
@@ -89,7 +89,7 @@
     return min(candidates, key=rank)
 
 
-def note_sent(stats: ReplicaStats, now: float) -> ReplicaStats:
+def record_sent(stats: ReplicaStats, now: float) -> ReplicaStats:
     """Count a part that was sent."""
     since = stats.waiting_since_ms if stats.outstanding else now
     return stats._replace(
--- a/chervilspindle/query/gather.py
+++ b/chervilspindle/query/gather.py
@@ -249,7 +249,7 @@
             )
             shard.tried.append(endpoint_id)
             shard.sent_ms = shard.sent_ms or now
-            self._update_stats(endpoint_id, replicas.note_sent, now)
+            self._update_stats(endpoint_id, replicas.record_sent, now)
             self._schedule_hedge(query, shard, now)
         request = query.request
         for session, parts in parts_by_session.items():
