--- a/chervilspindle/policy/replicas.py
+++ b/chervilspindle/policy/replicas.py
@@ -97,7 +97,7 @@
     )
 
 
-def note_reply(
+def record_reply(
     stats: ReplicaStats, service_ms: float, backlog_ms: float, now: float
 ) -> ReplicaStats:
     """Take in a reply; a service time of 0 means that nothing ran."""
--- a/chervilspindle/query/gather.py
+++ b/chervilspindle/query/gather.py
@@ -375,7 +375,7 @@
         now = self.read_clock()
         self._update_stats(
             reply.endpoint_id,
-            replicas.note_reply,
+            replicas.record_reply,
             reply.service_ms,
             reply.backlog_ms,
             now,
