--- a/chervilspindle/policy/replicas.py
+++ b/chervilspindle/policy/replicas.py
@@ -116,7 +116,7 @@
     return stats._replace(failed_ms=now)
 
 
-def note_cancelled(
+def record_cancelled(
     stats: ReplicaStats, waited_ms: float, now: float
 ) -> ReplicaStats:
     """Take in a part whose answer is no longer waited for.
--- a/chervilspindle/query/gather.py
+++ b/chervilspindle/query/gather.py
@@ -536,7 +536,7 @@
                 numbers.append(number)
                 waited = now - send.sent_ms
                 self._update_stats(
-                    send.endpoint_id, replicas.note_cancelled, waited, now
+                    send.endpoint_id, replicas.record_cancelled, waited, now
                 )
             shard.may_have_run = shard.may_have_run or bool(shard.outstanding)
             shard.outstanding = {}
