--- a/chervilspindle/policy/replicas.py
+++ b/chervilspindle/policy/replicas.py
@@ -125,17 +125,17 @@
     without that sample an endpoint that answers nothing would look fast.
     """
     stats = _sample(stats, max(stats.service_ms, waited_ms), now)
-    return note_unsent(stats)
+    return record_not_run(stats)
 
 
-def note_unsent(stats: ReplicaStats) -> ReplicaStats:
+def record_not_run(stats: ReplicaStats) -> ReplicaStats:
     """Take back a part that its owner passed on without running it."""
     return stats._replace(outstanding=max(0, stats.outstanding - 1))
 
 
 def note_failure(stats: ReplicaStats, now: float) -> ReplicaStats:
     """Take in a part that failed or got no reply."""
-    return mark_failed(note_unsent(stats), now)
+    return mark_failed(record_not_run(stats), now)
 
 
 def _sample(stats, service_ms, now):
--- a/chervilspindle/query/gather.py
+++ b/chervilspindle/query/gather.py
@@ -409,7 +409,7 @@
             return False
         if not self._is_usable(send.endpoint_id):
             return False
-        self._update_stats(send.endpoint_id, replicas.note_unsent)
+        self._update_stats(send.endpoint_id, replicas.record_not_run)
         self._send_parts(query, [(shard, send.endpoint_id)], "handed-over")
         return True
 
