--- a/chervilspindle/policy/replicas.py
+++ b/chervilspindle/policy/replicas.py
@@ -133,7 +133,7 @@
     return stats._replace(outstanding=max(0, stats.outstanding - 1))
 
 
-def note_failure(stats: ReplicaStats, now: float) -> ReplicaStats:
+def record_failure(stats: ReplicaStats, now: float) -> ReplicaStats:
     """Take in a part that failed or got no reply."""
     return mark_failed(record_not_run(stats), now)
 
--- a/chervilspindle/query/gather.py
+++ b/chervilspindle/query/gather.py
@@ -435,7 +435,7 @@
         if send is None:
             return
         self._update_stats(
-            send.endpoint_id, replicas.note_failure, self.read_clock()
+            send.endpoint_id, replicas.record_failure, self.read_clock()
         )
         shard.may_have_run = True
         if not shard.settled:
