--- a/chervilspindle/policy/replicas.py
+++ b/chervilspindle/policy/replicas.py
@@ -111,7 +111,7 @@
     )
 
 
-def mark_failed(stats: ReplicaStats, now: float) -> ReplicaStats:
+def record_unavailable(stats: ReplicaStats, now: float) -> ReplicaStats:
     """Take in that the endpoint can't be used at the moment."""
     return stats._replace(failed_ms=now)
 
@@ -135,7 +135,7 @@
 
 def record_failure(stats: ReplicaStats, now: float) -> ReplicaStats:
     """Take in a part that failed or got no reply."""
-    return mark_failed(record_not_run(stats), now)
+    return record_unavailable(record_not_run(stats), now)
 
 
 def _sample(stats, service_ms, now):
--- a/chervilspindle/query/gather.py
+++ b/chervilspindle/query/gather.py
@@ -381,7 +381,9 @@
             now,
         )
         if reply.status in _UNHEALTHY:
-            self._update_stats(reply.endpoint_id, replicas.mark_failed, now)
+            self._update_stats(
+                reply.endpoint_id, replicas.record_unavailable, now
+            )
         shard.may_have_run = shard.may_have_run or reply.dispatched
         if shard.settled:
             return
@@ -590,7 +592,9 @@
         """Avoid for a while the endpoints that kept a shard waiting."""
         now = self.read_clock()
         for send in shard.outstanding.values():
-            self._update_stats(send.endpoint_id, replicas.mark_failed, now)
+            self._update_stats(
+                send.endpoint_id, replicas.record_unavailable, now
+            )
 
     def _note_answer(self, query, results, missing):
         self.metrics.count_shards("ok", len(results))
