--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -201,7 +201,7 @@
         "a#1",
         raft_messages.HardState(1, ""),
         (entry,),
-        raft_messages.SnapshotMark(0, 0, ()),
+        raft_messages.SnapshotMetadata(0, 0, ()),
         0.0,
         0.5,
     )
@@ -309,7 +309,7 @@
             storage = storage_module.Storage(folder)
             storage.recover()
             writer = storage.begin_snapshot(
-                raft_messages.SnapshotMark(1, 1, ())
+                raft_messages.SnapshotMetadata(1, 1, ())
             )
             source = state_module.split_image(state)
             longest = 0.0
--- a/chervilspindle/control/desk_test.py
+++ b/chervilspindle/control/desk_test.py
@@ -32,7 +32,7 @@
             "vm-1#a",
             raft_messages.HardState(1, ""),
             (),
-            raft_messages.SnapshotMark(0, 0, ()),
+            raft_messages.SnapshotMetadata(0, 0, ()),
             0.0,
             0.0,
         )
@@ -271,7 +271,7 @@
         voters[0],
         raft_messages.HardState(1, ""),
         (),
-        raft_messages.SnapshotMark(0, 0, ()),
+        raft_messages.SnapshotMetadata(0, 0, ()),
         now,
         0.0,
     )
--- a/chervilspindle/control/node.py
+++ b/chervilspindle/control/node.py
@@ -444,7 +444,7 @@
         if entries < SNAPSHOT_ENTRIES and not (large and entries > 0):
             return
         state = raft.compact(self.raft, self.applied_index)
-        mark = raft_messages.SnapshotMark(
+        mark = raft_messages.SnapshotMetadata(
             state.snapshot_index,
             state.snapshot_term,
             tuple(tuple(m) for m in state.snapshot_members),
--- a/chervilspindle/control/raft.py
+++ b/chervilspindle/control/raft.py
@@ -93,7 +93,7 @@
     member_id: str,
     hard: messages.HardState,
     log: tuple[messages.Entry, ...],
-    snapshot: messages.SnapshotMark,
+    snapshot: messages.SnapshotMetadata,
     now: float,
     jitter: float,
 ) -> RaftState:
@@ -289,7 +289,10 @@
 
 
 def adopt_snapshot(
-    state: RaftState, mark: messages.SnapshotMark, now: float, jitter: float
+    state: RaftState,
+    mark: messages.SnapshotMetadata,
+    now: float,
+    jitter: float,
 ) -> RaftState:
     """Replace the log by a snapshot that the leader sent."""
     if mark.index <= state.commit_index:
@@ -469,7 +472,7 @@
         return state, beat
     state = _set_progress(state, other, install_sent_ms=now)
     # The caller fills in the mark and the bytes of its durable snapshot.
-    mark = messages.SnapshotMark(0, 0, ())
+    mark = messages.SnapshotMetadata(0, 0, ())
     return state, messages.Install(state.term, mark, b"", now)
 
 
--- a/chervilspindle/control/raft_messages.py
+++ b/chervilspindle/control/raft_messages.py
@@ -21,7 +21,7 @@
     voted_for: str
 
 
-class SnapshotMark(typing.NamedTuple):
+class SnapshotMetadata(typing.NamedTuple):
     """Position of a snapshot, and the group's members at it."""
 
     index: int
@@ -88,7 +88,7 @@
     """Carries a whole snapshot to a member that is too far behind."""
 
     term: int
-    mark: SnapshotMark
+    mark: SnapshotMetadata
     data: bytes
     sent_ms: float
 
--- a/chervilspindle/control/raft_test.py
+++ b/chervilspindle/control/raft_test.py
@@ -23,7 +23,7 @@
     def __init__(self):
         self.hard = messages.HardState(0, "")
         self.log = ()
-        self.mark = messages.SnapshotMark(0, 0, ())
+        self.mark = messages.SnapshotMetadata(0, 0, ())
         self.data = ()
 
 
@@ -141,7 +141,7 @@
         state = raft.compact(state, index)
         disk = self.disk_by_id[member_id]
         if state.snapshot_index == index:
-            disk.mark = messages.SnapshotMark(
+            disk.mark = messages.SnapshotMetadata(
                 index,
                 state.snapshot_term,
                 tuple(tuple(m) for m in state.snapshot_members),
--- a/chervilspindle/control/storage.py
+++ b/chervilspindle/control/storage.py
@@ -52,7 +52,7 @@
 class SnapshotFile(typing.NamedTuple):
     """Content of a snapshot file: what it covers, and parts of the tables."""
 
-    mark: messages.SnapshotMark
+    mark: messages.SnapshotMetadata
     parts: tuple[bytes, ...]
 
 
@@ -71,13 +71,13 @@
     torn_bytes: int
 
 
-EMPTY_SNAPSHOT = SnapshotFile(messages.SnapshotMark(0, 0, ()), ())
+EMPTY_SNAPSHOT = SnapshotFile(messages.SnapshotMetadata(0, 0, ()), ())
 
 _ENCODER = msgspec.msgpack.Encoder()
 _RECORD = msgspec.msgpack.Decoder(tuple[str, msgspec.Raw])
 _HARD = msgspec.msgpack.Decoder(HardRecord)
 _APPEND = msgspec.msgpack.Decoder(AppendRecord)
-_MARK = msgspec.msgpack.Decoder(messages.SnapshotMark)
+_MARK = msgspec.msgpack.Decoder(messages.SnapshotMetadata)
 
 
 class Storage:
@@ -137,7 +137,7 @@
         writer.add(snapshot.parts)
         writer.finish(state)
 
-    def begin_snapshot(self, mark: messages.SnapshotMark):
+    def begin_snapshot(self, mark: messages.SnapshotMetadata):
         """Begin to write a snapshot part by part.
 
         Returns
@@ -146,7 +146,7 @@
         """
         return SnapshotWriter(self, mark)
 
-    def start_log_after(self, mark: messages.SnapshotMark, state):
+    def start_log_after(self, mark: messages.SnapshotMetadata, state):
         """Replace the log by one that starts after a snapshot."""
         hard = _pack(HardRecord(state.term, state.voted_for))
         kept = tuple(e for e in state.log if e.index > mark.index)
@@ -238,7 +238,7 @@
     snapshot and the log stand.
     """
 
-    def __init__(self, storage: Storage, mark: messages.SnapshotMark):
+    def __init__(self, storage: Storage, mark: messages.SnapshotMetadata):
         self.storage = storage
         self.mark = mark
         self.path = os.path.join(storage.folder, SNAPSHOT_FILE)
@@ -309,7 +309,7 @@
     return records, offset
 
 
-def replay_records(records, mark: messages.SnapshotMark):
+def replay_records(records, mark: messages.SnapshotMetadata):
     """Rebuild the promise and the log from records.
 
     Returns
--- a/chervilspindle/control/storage_test.py
+++ b/chervilspindle/control/storage_test.py
@@ -16,7 +16,7 @@
         "vm#1",
         messages.HardState(term, ""),
         (),
-        messages.SnapshotMark(0, 0, ()),
+        messages.SnapshotMetadata(0, 0, ()),
         0.0,
         0.5,
     )
@@ -88,7 +88,7 @@
 def test_damaged_snapshot_is_refused(tmp_path):
     storage, _ = open_storage(tmp_path)
     state = build_state(5)._replace(commit_index=5)
-    mark = messages.SnapshotMark(5, 1, ())
+    mark = messages.SnapshotMetadata(5, 1, ())
     storage.save_snapshot(
         storage_module.SnapshotFile(mark, (b"x" * 50,)), state
     )
@@ -104,7 +104,7 @@
     state = build_state(8)._replace(commit_index=5)
     storage.persist(build_state(term=0), state)
     compacted = raft.compact(state, 5)
-    mark = messages.SnapshotMark(5, 1, ())
+    mark = messages.SnapshotMetadata(5, 1, ())
     storage.save_snapshot(
         storage_module.SnapshotFile(mark, (b"ta", b"bles")), compacted
     )
@@ -150,7 +150,7 @@
 
 
 def begin_snapshot(storage, state, index=5):
-    mark = messages.SnapshotMark(index, 1, ())
+    mark = messages.SnapshotMetadata(index, 1, ())
     writer = storage.begin_snapshot(mark)
     writer.add((b"first", b"second"))
     return writer
