--- a/chervilspindle/control/desk.py
+++ b/chervilspindle/control/desk.py
@@ -118,7 +118,7 @@
             return defer.maybeDeferred(answer_call, message, self)
         address = self.node.find_leader_address()
         if address is None or address == self.node.address:
-            return defer.fail(self.node.build_no_leader())
+            return defer.fail(self.node.build_no_leader_error())
         deferred = self.network.call(address, message, LEADER_CALL_S)
         return deferred.addCallback(self._check_reply)
 
@@ -134,7 +134,7 @@
 
     def _check_reply(self, reply):
         if isinstance(reply, messages.NotLeader):
-            raise self.node.build_no_leader()
+            raise self.node.build_no_leader_error()
         return reply
 
     def _start_term(self):
--- a/chervilspindle/control/desk_test.py
+++ b/chervilspindle/control/desk_test.py
@@ -46,7 +46,7 @@
     def get_leader_vm(self):
         return ""
 
-    def build_no_leader(self):
+    def build_no_leader_error(self):
         return errors.build_error(errors.ErrorKind.NO_LEADER, "no leader")
 
     def propose(self, command):
--- a/chervilspindle/control/node.py
+++ b/chervilspindle/control/node.py
@@ -203,7 +203,7 @@
             with OUTCOME_UNKNOWN if it may be.
         """
         if not self.is_leader():
-            return defer.fail(self.build_no_leader())
+            return defer.fail(self.build_no_leader_error())
         deferred = defer.Deferred()
         self.proposals.append(Proposal(command, deferred))
         self._plan_flush()
@@ -223,7 +223,7 @@
         """Return the replication address of the leader, if one is known."""
         return self._find_address(self.raft.leader_id)
 
-    def build_no_leader(self) -> errors.ProblemError:
+    def build_no_leader_error(self) -> errors.ProblemError:
         """Build the error for calls that only the leader can answer."""
         return errors.build_error(
             errors.ErrorKind.NO_LEADER, "this control VM does not lead"
@@ -302,7 +302,7 @@
         result, index = raft.propose(self.raft, data, now)
         if index is None:
             for proposal in proposals:
-                proposal.deferred.errback(self.build_no_leader())
+                proposal.deferred.errback(self.build_no_leader_error())
             return ()
         self.raft = result.state
         self.waiting_by_index[index] = Waiting(
@@ -424,7 +424,7 @@
             return
         if waiting.term != entry.term:
             for proposal in waiting.proposals:
-                proposal.deferred.errback(self.build_no_leader())
+                proposal.deferred.errback(self.build_no_leader_error())
             return
         for proposal, result in zip(waiting.proposals, results):
             proposal.deferred.callback(result)
