--- a/chervilspindle/policy/fairness_test.py
+++ b/chervilspindle/policy/fairness_test.py
@@ -1,4 +1,4 @@
-"""Tests of the fair order of work."""
+"""Tests of fair queueing."""
 
 from chervilspindle.policy import fairness
 
@@ -7,7 +7,7 @@
     return fairness.FairQueue(lambda payload: payload in live)
 
 
-def test_cancelled_work_does_not_count_as_ahead():
+def test_cancelled_requests_do_not_count_as_ahead():
     live = {"a", "b"}
     queue = build_queue(live)
     queue.push("c", 1.0, 0, "a")
@@ -27,7 +27,7 @@
     return served
 
 
-def test_weights_share_slot_time():
+def test_slot_time_is_shared_by_weight():
     live = set(range(1000))
     queue = build_queue(live)
     for number in range(0, 400, 2):
@@ -37,17 +37,17 @@
     assert 73 <= served["large"] <= 77
 
 
-def test_greedy_backlog_does_not_delay_a_newcomer():
+def test_backlog_of_one_customer_does_not_delay_another():
     live = set(range(1000))
     queue = build_queue(live)
     for number in range(500):
-        queue.push("greedy", 0.5, 0, number)
+        queue.push("busy", 0.5, 0, number)
     serve(queue, 50)
-    queue.push("newcomer", 0.5, 0, 600)
-    assert "newcomer" in serve(queue, 2)
+    queue.push("new", 0.5, 0, 600)
+    assert "new" in serve(queue, 2)
 
 
-def test_idle_customer_saves_up_nothing():
+def test_idle_customer_accumulates_no_credit():
     live = set(range(1000))
     queue = build_queue(live)
     queue.push("idle", 0.5, 0, 0)
@@ -61,7 +61,7 @@
     assert served["busy"] >= 9
 
 
-def test_unused_share_is_lent():
+def test_unused_share_goes_to_other_customers():
     live = set(range(100))
     queue = build_queue(live)
     for number in range(50):
@@ -70,10 +70,10 @@
 
 
 def test_urgent_priority_goes_first_within_a_customer():
-    live = {"late", "urgent"}
+    live = {"batch", "urgent"}
     queue = build_queue(live)
-    queue.push("c", 1.0, 2, "late")
+    queue.push("c", 1.0, 2, "batch")
     queue.push("c", 1.0, 0, "urgent")
     assert queue.pop(1.0) == ("c", "urgent")
-    assert queue.pop(1.0) == ("c", "late")
+    assert queue.pop(1.0) == ("c", "batch")
     assert queue.pop(1.0) == (None, None)
--- a/chervilspindle/policy/limits.py
+++ b/chervilspindle/policy/limits.py
@@ -1,9 +1,9 @@
-"""Adaptive limit of requests that an owner runs at one endpoint.
+"""Adaptive concurrency limit of one endpoint.
 
-The announced slots are a hard ceiling. Below it the limit follows additive
-increase and multiplicative decrease (Chiu and Jain, 1989): shed requests
-and slow answers cut it, answers in time raise it. An endpoint that has just
-started begins at one.
+The slots that the endpoint announces are the upper bound. Below it the limit
+follows additive increase and multiplicative decrease (Chiu and Jain, 1989):
+requests that the endpoint sheds and slow replies decrease it, fast replies
+increase it. The limit of an endpoint that has just started is 1.
 """
 
 import math
@@ -13,7 +13,7 @@
 SLOW_FACTOR = 0.8
 SLOW_RATIO = 5.0
 RAISE_STEP = 0.5
-CUT_PAUSE_MS = 200.0
+MIN_CUT_INTERVAL_MS = 200.0
 STALL_RATIO = 8.0
 STALL_MIN_MS = 100.0
 STALL_PARTIAL_FACTOR = 4.0
@@ -26,13 +26,32 @@
 
 
 class LimitState(typing.NamedTuple):
-    """Limit and service times of one endpoint, in ms."""
+    """Concurrency limit, service times and circuit breaker of one endpoint.
+
+    Parameters
+    ----------
+    slots : int
+        Upper bound of the limit, announced by the endpoint.
+    limit : float
+        Present limit; `get_limit` rounds it down.
+    service_ms : float
+        Smoothed service time.
+    baseline_ms : float
+        Service time without overload: a slower average, at most
+        `service_ms`.
+    last_cut_ms, last_success_ms, stalled_until_ms : float
+        Monotonic milliseconds.
+    samples : int
+        Successful requests so far.
+    stalls : int
+        Stalls since the last successful request.
+    """
 
     slots: int
     limit: float
     service_ms: float = DEFAULT_SERVICE_MS
     baseline_ms: float = 0.0
-    cut_ms: float = 0.0
+    last_cut_ms: float = 0.0
     samples: int = 0
     last_success_ms: float = -math.inf
     stalls: int = 0
@@ -40,7 +59,7 @@
 
 
 def build_limit(slots: int, is_cold: bool) -> LimitState:
-    """Build the limit of an endpoint that was just taken over."""
+    """Build the limit of an endpoint that has a new owner."""
     return LimitState(slots, 1.0 if is_cold else float(slots))
 
 
@@ -50,11 +69,24 @@
 
 
 def record_success(state: LimitState, service_ms: float, now: float):
-    """Raise the limit, or cut it when the endpoint has become slow."""
+    """Raise the limit after a reply, or cut it if the endpoint is slow now.
+
+    Parameters
+    ----------
+    service_ms : float
+        Service time of the request.
+    now : float
+        Monotonic milliseconds.
+
+    Returns
+    -------
+    LimitState
+    """
     if not state.samples:
         state = state._replace(service_ms=service_ms, baseline_ms=service_ms)
     service = state.service_ms
-    # A slow phase must not make the endpoint look slow long after it.
+    # The estimate falls faster than it rises, so that it recovers soon after
+    # a slow phase.
     smoothing = SERVICE_SMOOTHING_UP
     if service_ms < service:
         smoothing = SERVICE_SMOOTHING_DOWN
@@ -76,53 +108,57 @@
 
 
 def record_shed(state: LimitState, now: float) -> LimitState:
-    """Cut the limit after the endpoint refused a request."""
+    """Cut the limit after the endpoint shed a request."""
     return _cut(state, SHED_FACTOR, now)
 
 
 def is_stalled(state: LimitState, started_ms, now: float) -> bool:
-    """Tell whether an endpoint takes requests and ends none.
+    """Tell whether an endpoint accepts requests but completes none.
 
     Parameters
     ----------
     started_ms : sequence of float
-        Starts of the requests that run.
+        Start times of the running requests, in monotonic milliseconds; not
+        empty.
     now : float
         Monotonic milliseconds.
 
     Returns
     -------
     bool
-        True if the oldest request is far later than usual and none ended
-        since it started. While slots are free it takes longer
-        to tell, since one late request says less than all.
+        True if the oldest request has run much longer than the service time
+        and no request has succeeded since it started. The threshold is
+        higher while slots are free, because then fewer late requests
+        support the conclusion.
     """
-    late_ms = max(STALL_MIN_MS, STALL_RATIO * state.service_ms)
+    threshold_ms = max(STALL_MIN_MS, STALL_RATIO * state.service_ms)
     if len(started_ms) < get_limit(state):
-        late_ms *= STALL_PARTIAL_FACTOR
+        threshold_ms *= STALL_PARTIAL_FACTOR
     if state.last_success_ms >= min(started_ms):
         return False
-    return now - min(started_ms) > late_ms
+    return now - min(started_ms) > threshold_ms
 
 
 def record_stall(state: LimitState, now: float) -> LimitState:
-    """Pause an endpoint that stalled, longer each time, then try it again.
+    """Pause a stalled endpoint with exponential backoff.
 
     This is a circuit breaker that lets one request through when half open
     (Nygard, "Release It!", 2007).
     """
-    pause = min(STALL_MAX_PAUSE_MS, STALL_PAUSE_MS * 2**state.stalls)
+    pause_ms = min(STALL_MAX_PAUSE_MS, STALL_PAUSE_MS * 2**state.stalls)
     return state._replace(
-        limit=1.0, stalls=state.stalls + 1, stalled_until_ms=now + pause
+        limit=1.0, stalls=state.stalls + 1, stalled_until_ms=now + pause_ms
     )
 
 
 def allow_probe(state: LimitState) -> LimitState:
-    """Let the next request try an endpoint that was paused."""
+    """End the pause, so that the next request probes the endpoint."""
     return state._replace(stalled_until_ms=-math.inf)
 
 
 def _cut(state, factor, now):
-    if now < state.cut_ms + CUT_PAUSE_MS:
+    if now < state.last_cut_ms + MIN_CUT_INTERVAL_MS:
         return state
-    return state._replace(limit=max(1.0, state.limit * factor), cut_ms=now)
+    return state._replace(
+        limit=max(1.0, state.limit * factor), last_cut_ms=now
+    )
--- a/chervilspindle/policy/policy_test.py
+++ b/chervilspindle/policy/policy_test.py
@@ -157,6 +157,6 @@
     assert hedging.is_straggler(10, 1, 1.0)
     assert hedging.is_straggler(10, 5, 1.0)
     assert not hedging.is_straggler(10, 6, 1.0)
-    assert hedging.is_straggler(10, 6, hedging.CERTAIN_RATIO)
+    assert hedging.is_straggler(10, 6, hedging.UNCONDITIONAL_RATIO)
     assert hedging.is_straggler(1, 1, 1.0)
     assert hedging.is_straggler(2, 2, 1.0)
