--- a/chervilspindle/policy/__init__.py
+++ b/chervilspindle/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Pure decisions: replica choice, fairness, limits, hedges, admission."""
+"""Pure policies: replica selection, fairness, limits, hedging, admission."""
