--- a/chervilspindle/control/node.py
+++ b/chervilspindle/control/node.py
@@ -213,7 +213,7 @@
         """Tell whether this member leads and no other can have replaced it."""
         if self.failed or self.raft is None:
             return False
-        return raft.has_authority(self.raft, self.read_clock())
+        return raft.has_leader_lease(self.raft, self.read_clock())
 
     def get_leader_vm(self) -> str:
         """Return the VM of the leader that this member follows, or ''."""
@@ -374,7 +374,7 @@
             return result.outbox
         mark = message.mark
         if mark.index > self.raft.commit_index:
-            state = raft.adopt_snapshot(
+            state = raft.install_snapshot(
                 self.raft, mark, now, self.random.random()
             )
             parts = state_module.split_parts(message.data)
--- a/chervilspindle/control/raft.py
+++ b/chervilspindle/control/raft.py
@@ -1,11 +1,14 @@
-"""Replicated log: elections, replication, snapshots, membership.
+"""Raft consensus: elections, log replication, snapshots, membership.
 
 The algorithm is Raft (Ongaro and Ousterhout, "In Search of an
 Understandable Consensus Algorithm", 2014) with pre-vote, check-quorum and
 single-server membership changes from Ongaro's dissertation (2014, chapters
-4, 6 and 9). This module is pure: functions take the state of one member, an
-event and a time in milliseconds, and return the new state and messages. The
-caller makes the new state durable before it sends any of the messages.
+4, 6 and 9). This module does no I/O: functions take the state of one member,
+an event and the time in monotonic milliseconds, and return the new state and
+the messages to send. The caller makes the new state durable before it sends
+any of the messages.
+
+`jitter` is a random number in [0, 1) that spreads election timeouts.
 """
 
 import math
@@ -13,17 +16,17 @@
 
 from chervilspindle.control import raft_messages as messages
 
-# Times within one region, where round trips take a few ms and a sync of the
-# disk one or two: a leader is missed after four heartbeats.
+# Chosen for one region, where a round trip takes a few ms and an fsync one
+# or two: an election starts after four missed heartbeats at the earliest.
 ELECTION_MIN_MS = 300.0
 ELECTION_MAX_MS = 600.0
 HEARTBEAT_MS = 75.0
-QUORUM_MARGIN_MS = 100.0
+LEASE_MARGIN_MS = 100.0
 BATCH_ENTRIES = 256
 INSTALL_RETRY_MS = 1000.0
-# Entries without acknowledgement go out again after this, the time in which a
-# silent link is closed. Sent with each heartbeat, they would pile up for a
-# member that is frozen.
+# Unacknowledged entries are sent again after this time, in which a connection
+# without traffic is closed. If they were sent with each heartbeat, they would
+# pile up for a frozen member.
 RESEND_MS = 2000.0
 NEVER_MS = -math.inf
 
@@ -38,11 +41,11 @@
     Parameters
     ----------
     member_id : str
-        ``VM_ID#DISK``: a replaced disk makes a new member.
+        ``VM_ID#DISK``: a VM with a replaced disk is a new member.
     address : str
         ``IP:PORT`` of its replication socket.
     voter : bool
-        False for a learner, which replicates but has no vote.
+        False for a learner, which receives the log but has no vote.
     """
 
     member_id: str
@@ -51,7 +54,22 @@
 
 
 class Progress(typing.NamedTuple):
-    """What the leader knows about one member."""
+    """Replication progress of one member, as seen by the leader.
+
+    Parameters
+    ----------
+    next_index : int
+        Index of the next entry to send.
+    match_index : int
+        Last index that is known to be replicated to the member.
+    acked_sent_ms : float
+        Send time of the latest message that the member has acknowledged.
+        All times are monotonic milliseconds of the leader.
+    install_sent_ms : float
+        Time when a snapshot was last sent.
+    entries_sent_ms : float
+        Time when entries were last sent.
+    """
 
     next_index: int
     match_index: int
@@ -61,7 +79,13 @@
 
 
 class RaftState(typing.NamedTuple):
-    """Whole state of one member; `log` starts after `snapshot_index`."""
+    """State of one member; `log` starts after `snapshot_index`.
+
+    `role` is "follower", "candidate" (collects pre-votes), "campaigning"
+    (collects votes) or "leader". `members` is the latest configuration in
+    the log, committed or not. The fields in ms are readings of the monotonic
+    clock.
+    """
 
     member_id: str
     term: int
@@ -83,7 +107,7 @@
 
 
 class Step(typing.NamedTuple):
-    """Result of a transition: new state and messages as (to, message)."""
+    """Result of a transition: new state, messages as (receiver, message)."""
 
     state: RaftState
     outbox: tuple[tuple[str, typing.NamedTuple], ...] = ()
@@ -99,8 +123,8 @@
 ) -> RaftState:
     """Build the state of a member that has just started.
 
-    A fresh member counts as having heard a leader now, so that it grants no
-    vote within the minimum election time after a restart.
+    The time of the last leader contact is set to `now`, so that the member
+    grants no vote within the minimum election timeout after a restart.
     """
     state = RaftState(
         member_id=member_id,
@@ -173,18 +197,18 @@
 
 
 def has_majority(state: RaftState, ids) -> bool:
-    """Tell whether `ids` hold a strict majority of configured voters."""
+    """Tell whether `ids` contain a strict majority of the voters."""
     voters = list_voters(state)
     granted = sum(1 for voter in voters if voter in ids)
     return granted * 2 > len(voters)
 
 
-def compute_quorum_contact(state: RaftState, now: float) -> float:
+def compute_quorum_ack_time(state: RaftState, now: float) -> float:
     """Return the latest send time that a majority has acknowledged.
 
-    The leader counts itself at `now`. Authority that ends the minimum
-    election time after this moment can't overlap with another leader's,
-    because each of that majority refuses to vote for as long.
+    The leader itself counts with `now`. A leader lease that ends the minimum
+    election timeout after this time can't overlap with that of another
+    leader, because each member of the majority refuses to vote until then.
     """
     times = []
     for voter in list_voters(state):
@@ -199,18 +223,22 @@
     return times[len(times) // 2] if times else NEVER_MS
 
 
-def has_authority(state: RaftState, now: float) -> bool:
-    """Tell whether this member is a leader that no other can have replaced."""
+def has_leader_lease(state: RaftState, now: float) -> bool:
+    """Tell whether this member is the leader and holds a valid lease.
+
+    While it does, no other member can have been elected. The lease requires
+    a committed entry of the leader's own term.
+    """
     if state.role != "leader":
         return False
     if get_term_at(state, state.commit_index) != state.term:
         return False
-    contact = compute_quorum_contact(state, now)
-    return now < contact + ELECTION_MIN_MS - QUORUM_MARGIN_MS
+    acked_ms = compute_quorum_ack_time(state, now)
+    return now < acked_ms + ELECTION_MIN_MS - LEASE_MARGIN_MS
 
 
 def tick(state: RaftState, now: float, jitter: float) -> Step:
-    """Advance timers: start elections, send heartbeats, stand down."""
+    """Handle timers: start an election, send heartbeats or step down."""
     if state.role == "leader":
         return _tick_leader(state, now, jitter)
     if now < state.election_due_ms or not is_voter(state):
@@ -228,14 +256,19 @@
     """
     if state.role != "leader":
         return Step(state), None
-    return _append_own(state, DATA, data, now)
+    return _append_entry(state, DATA, data, now)
 
 
 def propose_members(state: RaftState, members: tuple[Member, ...], now: float):
     """Append a new configuration that differs in one member.
 
-    Refused (None for the index) while an earlier configuration is not
-    committed, or before this leader committed an entry of its own term.
+    Rejected while an earlier configuration is not committed, and before this
+    leader has committed an entry of its own term.
+
+    Returns
+    -------
+    Step, int or None
+        The index of the entry, None if rejected.
     """
     if state.role != "leader":
         return Step(state), None
@@ -252,7 +285,7 @@
     if len(changed) > 1:
         return Step(state), None
     data = messages.encode_members(tuple(tuple(m) for m in members))
-    return _append_own(state, CONFIG, data, now)
+    return _append_entry(state, CONFIG, data, now)
 
 
 def step(state: RaftState, sender: str, message, now: float, jitter: float):
@@ -264,11 +297,11 @@
     """
     term = getattr(message, "term", 0)
     if isinstance(message, messages.PreVote):
-        return _on_pre_vote(state, sender, message, now)
+        return _handle_pre_vote(state, sender, message, now)
     if isinstance(message, messages.PreVoteReply):
-        return _on_pre_vote_reply(state, sender, message, now, jitter)
+        return _handle_pre_vote_reply(state, sender, message, now, jitter)
     if isinstance(message, messages.RequestVote):
-        if _hears_leader(state, now):
+        if _has_leader_contact(state, now):
             return Step(state)
     if term > state.term:
         state = _become_follower(state, term, "", now, jitter)
@@ -277,7 +310,7 @@
 
 
 def compact(state: RaftState, index: int) -> RaftState:
-    """Drop the log up to `index`, which a durable snapshot now covers."""
+    """Remove the log up to `index`, which a durable snapshot covers."""
     if index <= state.snapshot_index or index > state.commit_index:
         return state
     return state._replace(
@@ -288,33 +321,36 @@
     )
 
 
-def adopt_snapshot(
+def install_snapshot(
     state: RaftState,
-    mark: messages.SnapshotMetadata,
+    metadata: messages.SnapshotMetadata,
     now: float,
     jitter: float,
 ) -> RaftState:
-    """Replace the log by a snapshot that the leader sent."""
-    if mark.index <= state.commit_index:
+    """Replace the log by a snapshot that the leader sent.
+
+    Entries after the snapshot are kept if the log contains its last entry.
+    """
+    if metadata.index <= state.commit_index:
         return state
-    keep = ()
-    if get_term_at(state, mark.index) == mark.term:
-        keep = get_entries(state, mark.index + 1, 1 << 62)
+    kept = ()
+    if get_term_at(state, metadata.index) == metadata.term:
+        kept = get_entries(state, metadata.index + 1, 1 << 62)
     state = state._replace(
-        log=keep,
-        snapshot_index=mark.index,
-        snapshot_term=mark.term,
-        snapshot_members=_decode_members(mark.members),
-        commit_index=mark.index,
+        log=kept,
+        snapshot_index=metadata.index,
+        snapshot_term=metadata.term,
+        snapshot_members=_decode_members(metadata.members),
+        commit_index=metadata.index,
     )
     state = state._replace(members=find_members(state))
     return _reset_election(state, now, jitter)
 
 
-def build_install_reply(state: RaftState, mark, sent_ms: float):
+def build_install_reply(state: RaftState, metadata, sent_ms: float):
     """Build the acknowledgement of an installed snapshot."""
     return messages.AppendReply(
-        state.term, True, max(mark.index, state.commit_index), 0, sent_ms
+        state.term, True, max(metadata.index, state.commit_index), 0, sent_ms
     )
 
 
@@ -323,11 +359,11 @@
 
 
 def _reset_election(state: RaftState, now: float, jitter: float):
-    spread = (ELECTION_MAX_MS - ELECTION_MIN_MS) * jitter
-    return state._replace(election_due_ms=now + ELECTION_MIN_MS + spread)
+    spread_ms = (ELECTION_MAX_MS - ELECTION_MIN_MS) * jitter
+    return state._replace(election_due_ms=now + ELECTION_MIN_MS + spread_ms)
 
 
-def _hears_leader(state: RaftState, now: float) -> bool:
+def _has_leader_contact(state: RaftState, now: float) -> bool:
     if state.role == "leader":
         return True
     return now < state.leader_contact_ms + ELECTION_MIN_MS
@@ -358,10 +394,10 @@
     if has_majority(state, state.votes):
         return _start_election(state, now, jitter)
     last = get_last_index(state)
-    ask = messages.PreVote(state.term + 1, last, get_term_at(state, last))
+    request = messages.PreVote(state.term + 1, last, get_term_at(state, last))
     voters = list_voters(state)
     others = tuple(v for v in voters if v != state.member_id)
-    return Step(state, tuple((other, ask) for other in others))
+    return Step(state, tuple((other, request) for other in others))
 
 
 def _start_election(state, now, jitter) -> Step:
@@ -374,10 +410,10 @@
     if has_majority(state, state.votes):
         return _become_leader(state, now)
     last = get_last_index(state)
-    ask = messages.RequestVote(state.term, last, get_term_at(state, last))
+    request = messages.RequestVote(state.term, last, get_term_at(state, last))
     voters = list_voters(state)
     others = tuple(v for v in voters if v != state.member_id)
-    return Step(state, tuple((other, ask) for other in others))
+    return Step(state, tuple((other, request) for other in others))
 
 
 def _become_leader(state, now) -> Step:
@@ -392,13 +428,14 @@
         elected_ms=now,
         heartbeat_due_ms=now,
     )
-    return _append_own(state, NOOP, b"", now)[0]
+    return _append_entry(state, NOOP, b"", now)[0]
 
 
 def _tick_leader(state, now, jitter) -> Step:
-    contact = compute_quorum_contact(state, now)
-    started = max(contact, state.elected_ms)
-    if now > started + ELECTION_MIN_MS or not is_voter(state):
+    acked_ms = compute_quorum_ack_time(state, now)
+    contact_ms = max(acked_ms, state.elected_ms)
+    # Check-quorum: a leader without contact to a majority steps down.
+    if now > contact_ms + ELECTION_MIN_MS or not is_voter(state):
         return Step(_become_follower(state, state.term, "", now, jitter))
     if now < state.heartbeat_due_ms:
         return Step(state)
@@ -406,18 +443,18 @@
     return _broadcast(state, now)
 
 
-def _append_own(state, kind, data, now):
+def _append_entry(state, kind, data, now):
     index = get_last_index(state) + 1
     entry = messages.Entry(index, state.term, kind, data)
     state = state._replace(log=state.log + (entry,))
     if kind == CONFIG:
-        state = _adopt_members(state)
+        state = _update_members(state)
     state = _advance_commit(state)
-    step_ = _broadcast(state, now)
-    return step_, index
+    result = _broadcast(state, now)
+    return result, index
 
 
-def _adopt_members(state):
+def _update_members(state):
     members = find_members(state)
     state = state._replace(members=members)
     if state.role != "leader":
@@ -445,9 +482,9 @@
     previous_term = get_term_at(state, previous)
     if previous_term is None:
         return _build_install(state, other, now)
-    in_step = progress.match_index == previous
+    is_replicating = progress.match_index == previous
     entries = ()
-    if in_step or now >= progress.entries_sent_ms + RESEND_MS:
+    if is_replicating or now >= progress.entries_sent_ms + RESEND_MS:
         entries = get_entries(
             state, progress.next_index, progress.next_index + BATCH_ENTRIES - 1
         )
@@ -456,8 +493,8 @@
     )
     if entries:
         state = _set_progress(state, other, entries_sent_ms=now)
-    if entries and in_step:
-        # The member follows in step, so the next batch goes out unasked.
+    if entries and is_replicating:
+        # Pipelining: the next batch is sent without waiting for the reply.
         state = _set_progress(state, other, next_index=entries[-1].index + 1)
     return state, message
 
@@ -465,15 +502,16 @@
 def _build_install(state, other, now):
     progress = state.progress_by_id[other]
     if now < progress.install_sent_ms + INSTALL_RETRY_MS:
-        # A heartbeat keeps the member quiet while the snapshot travels.
-        beat = messages.Append(
+        # Heartbeats prevent an election by the member while the snapshot is
+        # in transit.
+        heartbeat = messages.Append(
             state.term, 1 << 62, 0, (), state.commit_index, now
         )
-        return state, beat
+        return state, heartbeat
     state = _set_progress(state, other, install_sent_ms=now)
-    # The caller fills in the mark and the bytes of its durable snapshot.
-    mark = messages.SnapshotMetadata(0, 0, ())
-    return state, messages.Install(state.term, mark, b"", now)
+    # The caller sets the metadata and the bytes of its durable snapshot.
+    metadata = messages.SnapshotMetadata(0, 0, ())
+    return state, messages.Install(state.term, metadata, b"", now)
 
 
 def _set_progress(state, other, **fields):
@@ -497,7 +535,8 @@
     index = matches[len(matches) // 2] if matches else 0
     if index <= state.commit_index:
         return state
-    # Only entries of the own term commit by counting (section 5.4.2).
+    # Only entries of the leader's own term are committed by counting replicas
+    # (section 5.4.2 of the Raft paper).
     if get_term_at(state, index) != state.term:
         return state
     return state._replace(commit_index=index)
@@ -509,10 +548,10 @@
     return (last_term, last_index) >= own
 
 
-def _on_pre_vote(state, sender, message, now) -> Step:
+def _handle_pre_vote(state, sender, message, now) -> Step:
     granted = (
         message.term > state.term
-        and not _hears_leader(state, now)
+        and not _has_leader_contact(state, now)
         and is_voter(state)
         and _is_up_to_date(state, message.last_index, message.last_term)
     )
@@ -520,7 +559,7 @@
     return Step(state, ((sender, reply),))
 
 
-def _on_pre_vote_reply(state, sender, message, now, jitter) -> Step:
+def _handle_pre_vote_reply(state, sender, message, now, jitter) -> Step:
     if message.own_term > state.term:
         state = _become_follower(state, message.own_term, "", now, jitter)
         return Step(state)
@@ -534,7 +573,7 @@
     return Step(state)
 
 
-def _on_request_vote(state, sender, message, now, jitter) -> Step:
+def _handle_request_vote(state, sender, message, now, jitter) -> Step:
     granted = (
         message.term == state.term
         and state.voted_for in ("", sender)
@@ -548,7 +587,7 @@
     return Step(state, ((sender, reply),))
 
 
-def _on_vote_reply(state, sender, message, now, jitter) -> Step:
+def _handle_vote_reply(state, sender, message, now, jitter) -> Step:
     if state.role != "campaigning" or message.term != state.term:
         return Step(state)
     if not message.granted:
@@ -559,7 +598,7 @@
     return Step(state)
 
 
-def _follow(state, sender, now, jitter):
+def _follow_leader(state, sender, now, jitter):
     state = state._replace(
         role="follower",
         leader_id=sender,
@@ -570,14 +609,14 @@
     return _reset_election(state, now, jitter)
 
 
-def _on_append(state, sender, message, now, jitter) -> Step:
+def _handle_append(state, sender, message, now, jitter) -> Step:
     if message.term < state.term:
         reply = messages.AppendReply(state.term, False, 0, 0, message.sent_ms)
         return Step(state, ((sender, reply),))
-    state = _follow(state, sender, now, jitter)
+    state = _follow_leader(state, sender, now, jitter)
     previous = message.previous_index
     if previous < state.snapshot_index:
-        # The snapshot covers the start of the batch.
+        # The own snapshot covers the start of the batch.
         kept = tuple(
             e for e in message.entries if e.index > state.snapshot_index
         )
@@ -605,16 +644,16 @@
 
 def _merge_entries(state, entries):
     for position, entry in enumerate(entries):
-        known = get_term_at(state, entry.index)
-        if known == entry.term:
+        existing_term = get_term_at(state, entry.index)
+        if existing_term == entry.term:
             continue
         kept = get_entries(state, 0, entry.index - 1)
         state = state._replace(log=kept + tuple(entries[position:]))
-        return _adopt_members(state)
+        return _update_members(state)
     return state
 
 
-def _on_append_reply(state, sender, message, now, jitter) -> Step:
+def _handle_append_reply(state, sender, message, now, jitter) -> Step:
     if state.role != "leader" or message.term != state.term:
         return Step(state)
     progress = state.progress_by_id.get(sender)
@@ -623,18 +662,18 @@
     acked = max(progress.acked_sent_ms, message.sent_ms)
     if not message.success:
         last = get_last_index(state)
-        following = max(
+        next_index = max(
             progress.match_index + 1, min(message.hint_index, last) + 1
         )
         state = _set_progress(
-            state, sender, next_index=following, acked_sent_ms=acked
+            state, sender, next_index=next_index, acked_sent_ms=acked
         )
-        if following == progress.next_index:
-            # Answering a refusal that tells nothing new would let doubled
-            # messages multiply.
+        if next_index == progress.next_index:
+            # A rejection without new information is not answered, or
+            # duplicated messages would multiply.
             return Step(state)
-        state, resend = _build_append(state, sender, now)
-        return Step(state, ((sender, resend),))
+        state, append = _build_append(state, sender, now)
+        return Step(state, ((sender, append),))
     match = max(progress.match_index, message.match_index)
     state = _set_progress(
         state,
@@ -648,23 +687,23 @@
     if state.commit_index > committed:
         return _broadcast(state, now)
     if state.progress_by_id[sender].next_index <= get_last_index(state):
-        state, more = _build_append(state, sender, now)
-        return Step(state, ((sender, more),))
+        state, append = _build_append(state, sender, now)
+        return Step(state, ((sender, append),))
     return Step(state)
 
 
-def _on_install(state, sender, message, now, jitter) -> Step:
-    # The caller stores the bytes and then calls adopt_snapshot.
+def _handle_install(state, sender, message, now, jitter) -> Step:
+    # The caller stores the snapshot and then calls install_snapshot.
     if message.term < state.term:
         reply = messages.AppendReply(state.term, False, 0, 0, message.sent_ms)
         return Step(state, ((sender, reply),))
-    return Step(_follow(state, sender, now, jitter))
+    return Step(_follow_leader(state, sender, now, jitter))
 
 
 _HANDLER_BY_TYPE = {
-    messages.RequestVote: _on_request_vote,
-    messages.VoteReply: _on_vote_reply,
-    messages.Append: _on_append,
-    messages.AppendReply: _on_append_reply,
-    messages.Install: _on_install,
+    messages.RequestVote: _handle_request_vote,
+    messages.VoteReply: _handle_vote_reply,
+    messages.Append: _handle_append,
+    messages.AppendReply: _handle_append_reply,
+    messages.Install: _handle_install,
 }
--- a/chervilspindle/control/raft_messages.py
+++ b/chervilspindle/control/raft_messages.py
@@ -15,14 +15,22 @@
 
 
 class HardState(typing.NamedTuple):
-    """What a member has promised: its term and its vote in that term."""
+    """Durable term and vote of a member, called hard state in Raft.
+
+    Parameters
+    ----------
+    term : int
+        Latest term that the member has seen.
+    voted_for : str
+        Member that got its vote in this term, '' if none.
+    """
 
     term: int
     voted_for: str
 
 
 class SnapshotMetadata(typing.NamedTuple):
-    """Position of a snapshot, and the group's members at it."""
+    """Last index and term that a snapshot covers, and the members then."""
 
     index: int
     term: int
@@ -30,7 +38,7 @@
 
 
 class PreVote(typing.NamedTuple):
-    """Asks whether an election at `term` could be won."""
+    """Asks for a pre-vote: whether the member would vote for it in `term`."""
 
     term: int
     last_index: int
@@ -38,7 +46,11 @@
 
 
 class PreVoteReply(typing.NamedTuple):
-    """Answers a PreVote; `own_term` lets a late member catch up."""
+    """Answers a PreVote.
+
+    `term` repeats that of the request; `own_term` is that of the sender and
+    lets a member with an older term catch up.
+    """
 
     term: int
     granted: bool
@@ -46,7 +58,7 @@
 
 
 class RequestVote(typing.NamedTuple):
-    """Asks for a vote."""
+    """Asks for a vote in `term`."""
 
     term: int
     last_index: int
@@ -63,7 +75,7 @@
 class Append(typing.NamedTuple):
     """Replicates entries; without entries it is a heartbeat.
 
-    `sent_ms` is the leader's own clock and comes back in the reply.
+    `sent_ms` is a reading of the leader's clock, which the reply returns.
     """
 
     term: int
@@ -75,7 +87,10 @@
 
 
 class AppendReply(typing.NamedTuple):
-    """Answers an Append; `hint_index` is where to continue on refusal."""
+    """Answers an Append or an Install.
+
+    After a rejection the leader continues with the entry after `hint_index`.
+    """
 
     term: int
     success: bool
@@ -85,7 +100,7 @@
 
 
 class Install(typing.NamedTuple):
-    """Carries a whole snapshot to a member that is too far behind."""
+    """Sends a snapshot to a member that needs entries no longer in the log."""
 
     term: int
     mark: SnapshotMetadata
@@ -94,7 +109,7 @@
 
 
 class Join(typing.NamedTuple):
-    """Asks the leader to replicate to a member with a new disk."""
+    """Asks the leader to add a member as a learner."""
 
     member_id: str
     address: str
@@ -124,22 +139,22 @@
 }
 
 _ENCODER = msgspec.msgpack.Encoder()
-_ENVELOPE = msgspec.msgpack.Decoder(Envelope)
+_ENVELOPE_DECODER = msgspec.msgpack.Decoder(Envelope)
 _DECODER_BY_NAME = {
     name: msgspec.msgpack.Decoder(cls) for name, cls in MESSAGE_BY_NAME.items()
 }
-_MEMBERS = msgspec.msgpack.Decoder(tuple[tuple[str, str, bool], ...])
+_MEMBERS_DECODER = msgspec.msgpack.Decoder(tuple[tuple[str, str, bool], ...])
 
 
 def encode_envelope(group: str, sender: str, message) -> bytes:
-    """Encode one message with its sender."""
+    """Encode one message in an envelope."""
     body = msgspec.Raw(_ENCODER.encode(message))
     envelope = Envelope(group, sender, type(message).__name__, body)
     return _ENCODER.encode(envelope)
 
 
 def decode_envelope(data: bytes):
-    """Decode a message.
+    """Decode an envelope and its message.
 
     Returns
     -------
@@ -152,16 +167,16 @@
     KeyError
         If the kind of message is unknown.
     """
-    envelope = _ENVELOPE.decode(data)
+    envelope = _ENVELOPE_DECODER.decode(data)
     message = _DECODER_BY_NAME[envelope.kind].decode(envelope.body)
     return envelope.group, envelope.sender, message
 
 
 def encode_members(members) -> bytes:
-    """Encode rows (member_id, address, voter) of a configuration entry."""
+    """Encode the (member_id, address, voter) rows of a configuration entry."""
     return _ENCODER.encode(members)
 
 
 def decode_members(data: bytes):
-    """Decode the rows of a configuration entry."""
-    return _MEMBERS.decode(data)
+    """Decode the (member_id, address, voter) rows of a configuration entry."""
+    return _MEMBERS_DECODER.decode(data)
--- a/chervilspindle/control/raft_test.py
+++ b/chervilspindle/control/raft_test.py
@@ -1,4 +1,4 @@
-"""Random schedules against the replicated log, and focused cases."""
+"""Tests of Raft: random fault schedules and individual scenarios."""
 
 import random
 
@@ -13,28 +13,28 @@
 LATENCY_MS = 5.0
 TICK_MS = 20.0
 EXAMPLES = 150
-STORM_MESSAGES = 500
+MAX_IN_FLIGHT = 500
 STEPS = 25
 
 
 class Disk:
-    """What survives a crash of one member."""
+    """Durable state of one member."""
 
     def __init__(self):
         self.hard = messages.HardState(0, "")
         self.log = ()
-        self.mark = messages.SnapshotMetadata(0, 0, ())
+        self.metadata = messages.SnapshotMetadata(0, 0, ())
         self.data = ()
 
 
 class Cluster:
-    """Members with disks and a lossy network, on one pure clock."""
+    """Members with disks and a lossy network, on one simulated clock."""
 
     def __init__(self, seed, voters=3):
         self.random = random.Random(seed)
         self.now = 0.0
         self.in_flight = []
-        self.cuts = set()
+        self.cut_links = set()
         self.committed = {}
         self.leader_by_term = {}
         self.state_by_id = {}
@@ -62,17 +62,17 @@
             member_id,
             disk.hard,
             disk.log,
-            disk.mark,
+            disk.metadata,
             self.read_clock(member_id),
             self.random.random(),
         )
-        self.applied_by_id[member_id] = (disk.mark.index, disk.data)
+        self.applied_by_id[member_id] = (disk.metadata.index, disk.data)
 
     def crash(self, member_id):
         self.state_by_id.pop(member_id, None)
 
     def lose_disk(self, member_id):
-        """Replace the disk: the VM comes back as a new member."""
+        """Replace the disk; the VM restarts as a new member."""
         self.crash(member_id)
         del self.disk_by_id[member_id]
         vm_id, _, number = member_id.partition("#")
@@ -80,8 +80,8 @@
         self.disk_by_id[fresh] = Disk()
         self.start(fresh)
 
-    def take(self, member_id, result):
-        """Make a step durable, then send and apply."""
+    def complete_step(self, member_id, result):
+        """Make a step durable, send its messages and apply its commits."""
         state = result.state
         self.state_by_id[member_id] = state
         disk = self.disk_by_id[member_id]
@@ -90,7 +90,7 @@
         for receiver, message in result.outbox:
             if isinstance(message, messages.Install):
                 message = message._replace(
-                    mark=disk.mark, data=repr(disk.data).encode()
+                    mark=disk.metadata, data=repr(disk.data).encode()
                 )
             self.send(member_id, receiver, message)
         self.apply(member_id)
@@ -105,8 +105,8 @@
         while index < state.commit_index:
             index += 1
             entry = raft.get_entries(state, index, index)[0]
-            known = self.committed.setdefault(index, entry)
-            assert known == entry, f"two entries committed at {index}"
+            committed = self.committed.setdefault(index, entry)
+            assert committed == entry, f"two entries committed at {index}"
             data = data + (entry.data,)
         self.applied_by_id[member_id] = (index, data)
         if state.role == "leader":
@@ -115,25 +115,25 @@
 
     def deliver(self, sender, receiver, message):
         state = self.state_by_id.get(receiver)
-        if state is None or (sender, receiver) in self.cuts:
+        if state is None or (sender, receiver) in self.cut_links:
             return
         now = self.read_clock(receiver)
         result = raft.step(state, sender, message, now, self.random.random())
         if isinstance(message, messages.Install) and not result.outbox:
             self.install(receiver, sender, message, result.state)
             return
-        self.take(receiver, result)
+        self.complete_step(receiver, result)
 
     def install(self, receiver, sender, message, state):
         if message.mark.index > state.commit_index:
             now = self.read_clock(receiver)
-            state = raft.adopt_snapshot(state, message.mark, now, 0.5)
+            state = raft.install_snapshot(state, message.mark, now, 0.5)
             disk = self.disk_by_id[receiver]
-            disk.mark = message.mark
+            disk.metadata = message.mark
             disk.data = eval(message.data)
             self.applied_by_id[receiver] = (message.mark.index, disk.data)
         reply = raft.build_install_reply(state, message.mark, message.sent_ms)
-        self.take(receiver, raft.Step(state, ((sender, reply),)))
+        self.complete_step(receiver, raft.Step(state, ((sender, reply),)))
 
     def compact(self, member_id):
         state = self.state_by_id[member_id]
@@ -141,16 +141,16 @@
         state = raft.compact(state, index)
         disk = self.disk_by_id[member_id]
         if state.snapshot_index == index:
-            disk.mark = messages.SnapshotMetadata(
+            disk.metadata = messages.SnapshotMetadata(
                 index,
                 state.snapshot_term,
                 tuple(tuple(m) for m in state.snapshot_members),
             )
             disk.data = data
-        self.take(member_id, raft.Step(state))
+        self.complete_step(member_id, raft.Step(state))
 
-    def run(self, duration_ms, loss=0.0, double=0.0):
-        """Let time pass with a lossy network."""
+    def run(self, duration_ms, loss=0.0, duplication=0.0):
+        """Advance time; messages are lost and duplicated at these rates."""
         due = self.now + duration_ms
         while self.now < due:
             self.now += TICK_MS
@@ -160,12 +160,14 @@
                 if self.random.random() < loss:
                     continue
                 self.deliver(sender, receiver, message)
-                if self.random.random() < double:
+                if self.random.random() < duplication:
                     self.deliver(sender, receiver, message)
             for member_id in list(self.state_by_id):
                 self.tick(member_id)
-            self.check_authority()
-            assert len(self.in_flight) < STORM_MESSAGES, "message storm"
+            self.check_leader_leases()
+            assert (
+                len(self.in_flight) < MAX_IN_FLIGHT
+            ), f"{len(self.in_flight)} messages in flight"
 
     def tick(self, member_id):
         result = raft.tick(
@@ -173,7 +175,7 @@
             self.read_clock(member_id),
             self.random.random(),
         )
-        self.take(member_id, result)
+        self.complete_step(member_id, result)
         state = self.state_by_id[member_id]
         if state.role == "leader":
             planned = membership.plan_promotion(state, 3)
@@ -183,12 +185,12 @@
                 result, _ = raft.propose_members(
                     state, planned, self.read_clock(member_id)
                 )
-                self.take(member_id, result)
+                self.complete_step(member_id, result)
 
     def plan_join(self, state):
-        known = {m.member_id for m in state.members}
+        member_ids = {m.member_id for m in state.members}
         for member_id in self.state_by_id:
-            if member_id not in known:
+            if member_id not in member_ids:
                 return membership.plan_join(
                     state.members, member_id, "address"
                 )
@@ -200,21 +202,21 @@
                 result, _ = raft.propose(
                     state, value, self.read_clock(member_id)
                 )
-                self.take(member_id, result)
+                self.complete_step(member_id, result)
 
-    def list_authorities(self):
+    def list_lease_holders(self):
         return [
             member_id
             for member_id, state in self.state_by_id.items()
-            if raft.has_authority(state, self.read_clock(member_id))
+            if raft.has_leader_lease(state, self.read_clock(member_id))
         ]
 
-    def check_authority(self):
-        assert len(self.list_authorities()) <= 1, self.list_authorities()
+    def check_leader_leases(self):
+        assert len(self.list_lease_holders()) <= 1, self.list_lease_holders()
 
 
 class LogMachine(stateful.RuleBasedStateMachine):
-    """Crashes, cuts, losses and lost disks in any order."""
+    """Crashes, network faults and lost disks in random order."""
 
     @stateful.initialize(seed=strategies.integers(0, 1 << 30))
     def build(self, seed):
@@ -223,17 +225,17 @@
         self.lost_disks = 0
         self.cluster.run(3000)
 
-    def pick(self, number):
+    def pick_member(self, number):
         ids = sorted(self.cluster.disk_by_id)
         return ids[number % len(ids)]
 
     @stateful.rule(
         duration=strategies.integers(1, 30),
         loss=strategies.sampled_from((0.0, 0.1, 0.5)),
-        double=strategies.sampled_from((0.0, 0.2)),
+        duplication=strategies.sampled_from((0.0, 0.2)),
     )
-    def pass_time(self, duration, loss, double):
-        self.cluster.run(duration * 50.0, loss, double)
+    def advance_time(self, duration, loss, duplication):
+        self.cluster.run(duration * 50.0, loss, duplication)
 
     @stateful.rule(count=strategies.integers(1, 5))
     def propose(self, count):
@@ -243,56 +245,58 @@
 
     @stateful.rule(number=strategies.integers(0, 2))
     def crash(self, number):
-        self.cluster.crash(self.pick(number))
+        self.cluster.crash(self.pick_member(number))
 
     @stateful.rule(number=strategies.integers(0, 2))
     def restart(self, number):
-        member_id = self.pick(number)
+        member_id = self.pick_member(number)
         self.cluster.crash(member_id)
         self.cluster.start(member_id)
 
     @stateful.rule(number=strategies.integers(0, 2))
     def lose_disk(self, number):
-        """Lose one disk while all others are up and caught up."""
+        """Replace one disk while all members are running and caught up."""
         states = self.cluster.state_by_id
-        if len(states) < 3 or self.cluster.cuts:
+        if len(states) < 3 or self.cluster.cut_links:
             return
         self.cluster.run(4000)
-        leader = self.cluster.list_authorities()
+        leader = self.cluster.list_lease_holders()
         if not leader:
             return
         voters = raft.list_voters(states[leader[0]])
         if len(voters) == 3 and set(voters) <= set(states):
-            self.cluster.lose_disk(self.pick(number))
+            self.cluster.lose_disk(self.pick_member(number))
 
     @stateful.rule(
         first=strategies.integers(0, 2), second=strategies.integers(0, 2)
     )
     def cut_one_way(self, first, second):
         if first != second:
-            self.cluster.cuts.add((self.pick(first), self.pick(second)))
+            self.cluster.cut_links.add(
+                (self.pick_member(first), self.pick_member(second))
+            )
 
     @stateful.rule()
     def heal(self):
-        self.cluster.cuts.clear()
+        self.cluster.cut_links.clear()
 
     @stateful.rule(number=strategies.integers(0, 2))
     def compact(self, number):
-        member_id = self.pick(number)
+        member_id = self.pick_member(number)
         if member_id in self.cluster.state_by_id:
             self.cluster.compact(member_id)
 
     def teardown(self):
-        """After all repairs a leader emerges and new values commit."""
+        """Check that after all repairs a leader is elected and can commit."""
         cluster = getattr(self, "cluster", None)
         if cluster is None:
             return
-        cluster.cuts.clear()
+        cluster.cut_links.clear()
         for member_id in sorted(cluster.disk_by_id):
             if member_id not in cluster.state_by_id:
                 cluster.start(member_id)
         cluster.run(8000)
-        assert cluster.list_authorities(), "no leader after repair"
+        assert cluster.list_lease_holders(), "no leader after repair"
         cluster.propose(b"last")
         cluster.run(2000)
         values = [entry.data for entry in cluster.committed.values()]
@@ -310,46 +314,46 @@
 
 
 def get_leader(cluster):
-    return cluster.list_authorities()[0]
+    return cluster.list_lease_holders()[0]
 
 
-def test_even_split_decides_nothing():
+def test_even_partition_commits_nothing():
     cluster = Cluster(1, voters=4)
     cluster.run(3000)
     ids = sorted(cluster.disk_by_id)
     for first in ids[:2]:
         for second in ids[2:]:
-            cluster.cuts.update({(first, second), (second, first)})
+            cluster.cut_links.update({(first, second), (second, first)})
     cluster.run(5000)
     before = max(cluster.committed)
     cluster.propose(b"x")
     cluster.run(5000)
     assert max(cluster.committed) == before
-    assert not cluster.list_authorities()
+    assert not cluster.list_lease_holders()
 
 
-def test_cut_off_leader_stands_down_by_its_own_clock():
+def test_partitioned_leader_steps_down_by_its_own_clock():
     cluster = Cluster(2)
     cluster.run(3000)
     old = get_leader(cluster)
     for other in cluster.disk_by_id:
         if other != old:
-            cluster.cuts.update({(old, other), (other, old)})
+            cluster.cut_links.update({(old, other), (other, old)})
     cluster.run(raft.ELECTION_MIN_MS)
-    assert old not in cluster.list_authorities()
+    assert old not in cluster.list_lease_holders()
     cluster.run(3000)
-    assert cluster.list_authorities()
+    assert cluster.list_lease_holders()
     assert get_leader(cluster) != old
 
 
-def test_frozen_leader_has_no_authority_when_it_wakes():
+def test_frozen_leader_has_no_lease_when_it_resumes():
     cluster = Cluster(3)
     cluster.run(3000)
     old = get_leader(cluster)
     frozen = cluster.state_by_id.pop(old)
     cluster.run(4000)
     cluster.state_by_id[old] = frozen
-    assert old not in cluster.list_authorities()
+    assert old not in cluster.list_lease_holders()
     cluster.propose(b"x")
     cluster.run(2000)
     assert get_leader(cluster) != old
@@ -361,16 +365,16 @@
     leader = get_leader(cluster)
     other = next(i for i in cluster.disk_by_id if i != leader)
     for third in cluster.disk_by_id:
-        cluster.cuts.update({(other, third), (third, other)})
+        cluster.cut_links.update({(other, third), (third, other)})
     cluster.run(20000)
     term = cluster.state_by_id[leader].term
-    cluster.cuts.clear()
+    cluster.cut_links.clear()
     cluster.run(3000)
     assert get_leader(cluster) == leader
     assert cluster.state_by_id[leader].term == term
 
 
-def test_lost_disk_never_votes_under_its_old_identity():
+def test_member_with_replaced_disk_votes_under_a_new_id_only():
     cluster = Cluster(5)
     cluster.run(3000)
     leader = get_leader(cluster)
@@ -383,7 +387,7 @@
     assert len(voters) == 3
 
 
-def test_second_vm_fails_right_after_a_repair():
+def test_second_vm_fails_right_after_a_disk_was_replaced():
     cluster = Cluster(6)
     cluster.run(3000)
     first = get_leader(cluster)
@@ -406,35 +410,44 @@
     assert b"during" in values and b"after" in values
 
 
-def build_cluster_with_late_member(seed):
-    """Return a cluster whose member was away until its log was compacted."""
+def build_cluster_with_lagging_member(seed):
+    """Return a cluster with a member that missed entries now compacted.
+
+    Returns
+    -------
+    cluster, leader, lagging : Cluster, str, str
+    """
     cluster = Cluster(seed)
     cluster.run(3000)
     leader = get_leader(cluster)
-    away = next(i for i in cluster.disk_by_id if i != leader)
-    cluster.crash(away)
+    lagging = next(i for i in cluster.disk_by_id if i != leader)
+    cluster.crash(lagging)
     for number in range(50):
         cluster.propose(b"%d" % number)
         cluster.run(40)
     cluster.compact(leader)
-    cluster.start(away)
-    return cluster, leader, away
+    cluster.start(lagging)
+    return cluster, leader, lagging
+
 
+def test_resends_to_an_unreachable_member_are_limited():
+    """Heartbeats to a member that does not reply carry no entries.
 
-def test_a_silent_member_is_not_sent_all_that_it_misses_over_and_over():
+    Otherwise each heartbeat would repeat all entries that it misses.
+    """
     cluster = Cluster(12)
     cluster.run(2000)
     leader = get_leader(cluster)
-    silent = next(m for m in cluster.state_by_id if m != leader)
-    cluster.cuts.update({(leader, silent), (silent, leader)})
+    unreachable = next(m for m in cluster.state_by_id if m != leader)
+    cluster.cut_links.update({(leader, unreachable), (unreachable, leader)})
     sent = []
 
-    def note(sender, receiver, message, send=cluster.send):
-        if receiver == silent and isinstance(message, messages.Append):
+    def record_send(sender, receiver, message, send=cluster.send):
+        if receiver == unreachable and isinstance(message, messages.Append):
             sent.extend(e.data for e in message.entries)
         send(sender, receiver, message)
 
-    cluster.send = note
+    cluster.send = record_send
     document = b"x" * 60000
     for _ in range(25):
         cluster.propose(document)
@@ -442,29 +455,29 @@
     cluster.run(5500)
     resends = 1 + 7000 / raft.RESEND_MS
     assert sum(map(len, sent)) <= resends * 25 * len(document)
-    cluster.cuts.clear()
+    cluster.cut_links.clear()
     cluster.run(1000)
-    assert cluster.applied_by_id[silent] == cluster.applied_by_id[leader]
+    assert cluster.applied_by_id[unreachable] == cluster.applied_by_id[leader]
 
 
-def test_doubled_refusals_cause_no_message_storm():
-    cluster, leader, away = build_cluster_with_late_member(8)
-    cluster.cuts.add((leader, away))
+def test_duplicated_rejections_do_not_multiply_messages():
+    cluster, leader, lagging = build_cluster_with_lagging_member(8)
+    cluster.cut_links.add((leader, lagging))
     cluster.run(500)
-    cluster.cuts.clear()
+    cluster.cut_links.clear()
     state = cluster.state_by_id[leader]
     state = raft._set_progress(
-        state, away, install_sent_ms=cluster.read_clock(leader)
+        state, lagging, install_sent_ms=cluster.read_clock(leader)
     )
     cluster.state_by_id[leader] = state
     sent = len(cluster.in_flight)
-    cluster.run(raft.INSTALL_RETRY_MS - 50, double=0.3)
+    cluster.run(raft.INSTALL_RETRY_MS - 50, duplication=0.3)
     assert len(cluster.in_flight) - sent < 20
 
 
-def test_snapshot_reaches_a_member_that_was_away():
-    cluster, leader, away = build_cluster_with_late_member(7)
+def test_lagging_member_receives_the_snapshot():
+    cluster, leader, lagging = build_cluster_with_lagging_member(7)
     cluster.run(3000)
-    state = cluster.state_by_id[away]
+    state = cluster.state_by_id[lagging]
     assert state.snapshot_index > 0
-    assert cluster.applied_by_id[away] == cluster.applied_by_id[leader]
+    assert cluster.applied_by_id[lagging] == cluster.applied_by_id[leader]
