--- a/chervilspindle/control/node.py
+++ b/chervilspindle/control/node.py
@@ -1,7 +1,8 @@
-"""One control member: drives the pure log with a disk, sockets and timers.
+"""One control member: connects Raft to storage, network and timers.
 
-Events of one turn of the loop are stepped together, made durable with one
-fsync, and only then are messages sent and committed commands applied.
+The events of one event loop iteration are processed together and made
+durable with one fsync. Only then are messages sent and committed commands
+applied.
 """
 
 import itertools
@@ -24,23 +25,23 @@
 LOGGER = logging.getLogger(__name__)
 
 TICK_S = 0.05
-JOIN_PERIOD_MS = 1000.0
+JOIN_INTERVAL_MS = 1000.0
 SNAPSHOT_ENTRIES = 2000
 PROPOSAL_TIMEOUT_MS = 3000.0
 PARTS_PER_SLICE = 4
-REJOIN_AFTER_MS = 3000.0  # two elections without a leader's word
-REPLACE_AFTER_MS = 4000.0  # a restart and a pause are shorter
+REJOIN_TIMEOUT_MS = 3000.0  # longer than two elections
+REPLACE_TIMEOUT_MS = 4000.0  # longer than a restart or a pause of a VM
 
 
 class Proposal(typing.NamedTuple):
-    """A command that waits for its commit."""
+    """A command that is not committed yet."""
 
     command: typing.NamedTuple
     deferred: defer.Deferred
 
 
-class Waiting(typing.NamedTuple):
-    """Proposals that went into one entry of the log."""
+class PendingEntry(typing.NamedTuple):
+    """Proposals in one log entry that is not committed yet."""
 
     term: int
     due_ms: float
@@ -48,7 +49,16 @@
 
 
 class SnapshotBuild(typing.NamedTuple):
-    """A snapshot that is being written, and the parts it has so far."""
+    """A snapshot in progress.
+
+    Parameters
+    ----------
+    writer : storage.SnapshotWriter
+    source : iterator of bytes
+        Parts that are not written yet.
+    parts : list of bytes
+        Parts that are written.
+    """
 
     writer: storage_module.SnapshotWriter
     source: typing.Iterator[bytes]
@@ -67,19 +77,19 @@
         Replication addresses of all control VMs, from the settings.
     storage : storage.Storage
     send : callable
-        ``send(address, data)``; may lose the message.
+        ``send(address, data)``; best effort, messages may be lost.
     timers : TimerService
     read_clock : callable
         Monotonic milliseconds.
     on_failure : callable
-        Called once when the disk fails; the process has to stop.
+        Called once when storage fails; the process must stop then.
     seed : int
-        Seed of election jitter.
+        Seed of the random election jitter.
     seeds : tuple of str
-        Replication addresses at which members may be found, for groups
-        whose VMs are not listed.
+        Replication addresses of possible members, for groups whose VMs are
+        not listed in the settings.
     voters : int or None
-        Voters that the group should have; as many as VMs by default.
+        Target number of voters; the number of control VMs by default.
     """
 
     def __init__(
@@ -112,22 +122,22 @@
         self.tables = state_module.EMPTY_STATE
         self.applied_index = 0
         self.snapshot = storage_module.EMPTY_SNAPSHOT
-        self.building = None
+        self.snapshot_build = None
         self.feed = changes.ChangeFeed()
         self.placement = placement.PlacementIndex(self.tables)
         self.proposals = []
-        self.waiting_by_index = {}
+        self.pending_by_index = {}
         self.inbox = []
-        self.flush_planned = False
+        self.flush_scheduled = False
         self.failed = False
         self.join_due_ms = 0.0
-        self.joins = {}
+        self.pending_joins = {}
         self.leader_listeners = []
         self.applied_listeners = []
         self.address_by_member = {}
 
     def start(self):
-        """Recover from the disk and start the timers."""
+        """Recover from disk and start the timers."""
         self._recover()
         self.timers.subscribe("control-tick", TICK_S, self.tick)
 
@@ -145,7 +155,7 @@
         self.persisted = self.raft
         self._load_tables(recovered.snapshot)
         LOGGER.info(
-            "control recovered",
+            "control state recovered from disk",
             extra={
                 "member": self.identity.member_id,
                 "revision": self.tables.lists.revision,
@@ -155,14 +165,14 @@
         )
 
     def stop(self):
-        """Stop timers and close the disk."""
+        """Stop the timers and close the storage."""
         self.timers.cancel("control-tick")
-        self._abandon_snapshot()
+        self._abort_snapshot()
         self.failed = True
         self.storage.close()
 
     def initialise(self):
-        """Write the log of a new group whose only voter is this member."""
+        """Bootstrap a new group whose only voter is this member."""
         self._recover()
         member = (self.identity.member_id, self.address, True)
         data = raft_messages.encode_members((member,))
@@ -171,26 +181,27 @@
         self.storage.persist(self.persisted, self.raft)
 
     def receive(self, data: bytes, address: str = ""):
-        """Take a message from the transport.
+        """Handle a message from the transport.
 
         Parameters
         ----------
         data : bytes
         address : str
-            Where the sender listens, if the transport tells. A new member
-            knows the others only by that.
+            Replication address of the sender, if the transport provides it.
+            A new member has no other source for the addresses of members
+            outside the settings.
         """
         try:
             decoded = raft_messages.decode_envelope(data)
         except (raft_messages.msgspec.MsgspecError, KeyError):
-            LOGGER.warning("replication message not understood")
+            LOGGER.warning("discarded undecodable replication message")
             return
         group, sender, message = decoded
         if group == self.identity.group:
             if address:
                 self.address_by_member[sender] = address
             self.inbox.append((sender, message))
-            self._plan_flush()
+            self._schedule_flush()
 
     def propose(self, command) -> defer.Deferred:
         """Commit a command through the log.
@@ -199,53 +210,53 @@
         -------
         Deferred
             Fires with the result of applying the command. Fails with
-            NO_LEADER and not_run if it certainly is not in the log, and
-            with OUTCOME_UNKNOWN if it may be.
+            NO_LEADER and not_run if the command is certainly not in the log,
+            and with OUTCOME_UNKNOWN if it may be.
         """
         if not self.is_leader():
             return defer.fail(self.build_no_leader_error())
         deferred = defer.Deferred()
         self.proposals.append(Proposal(command, deferred))
-        self._plan_flush()
+        self._schedule_flush()
         return deferred
 
     def is_leader(self) -> bool:
-        """Tell whether this member leads and no other can have replaced it."""
+        """Tell whether this member is the leader and holds a valid lease."""
         if self.failed or self.raft is None:
             return False
         return raft.has_leader_lease(self.raft, self.read_clock())
 
     def get_leader_vm(self) -> str:
-        """Return the VM of the leader that this member follows, or ''."""
+        """Return the id of the leader's VM, '' if no leader is known."""
         return membership.get_vm_id(self.raft.leader_id)
 
     def find_leader_address(self) -> str | None:
-        """Return the replication address of the leader, if one is known."""
+        """Return the replication address of the leader, None if unknown."""
         return self._find_address(self.raft.leader_id)
 
     def build_no_leader_error(self) -> errors.ProblemError:
-        """Build the error for calls that only the leader can answer."""
+        """Build the error for calls that only the leader can serve."""
         return errors.build_error(
-            errors.ErrorKind.NO_LEADER, "this control VM does not lead"
+            errors.ErrorKind.NO_LEADER, "this control VM is not the leader"
         )
 
     def tick(self):
-        """Advance timers of the log and look after membership."""
+        """Handle Raft timers, proposal timeouts and membership changes."""
         if self.failed:
             return
         now = self.read_clock()
         was_leader = self.raft.role == "leader"
         self._advance(raft.tick(self.raft, now, self.random.random()))
-        self._expire_waiting(now)
+        self._expire_pending(now)
         if self.failed:
             return
         if self.raft.role == "leader":
-            self._tend_members(now)
+            self._reconcile_members(now)
         else:
-            self.joins.clear()
+            self.pending_joins.clear()
             if now >= self.join_due_ms:
-                self.join_due_ms = now + JOIN_PERIOD_MS
-                self._ask_to_join()
+                self.join_due_ms = now + JOIN_INTERVAL_MS
+                self._request_join()
         if was_leader and self.raft.role != "leader":
             logs.log_decision(
                 "leadership",
@@ -254,13 +265,13 @@
                 leader=self.raft.leader_id,
             )
 
-    def _plan_flush(self):
-        if not self.flush_planned:
-            self.flush_planned = True
+    def _schedule_flush(self):
+        if not self.flush_scheduled:
+            self.flush_scheduled = True
             self.timers.call_later(0, self._flush)
 
     def _flush(self):
-        self.flush_planned = False
+        self.flush_scheduled = False
         if self.failed:
             return
         inbox, self.inbox = self.inbox, []
@@ -272,24 +283,24 @@
 
     def _step(self, sender, message):
         if isinstance(message, raft_messages.Join):
-            self._take_join(sender, message)
+            self._handle_join(sender, message)
             return ()
         if isinstance(message, raft_messages.Install):
-            return self._install(sender, message)
+            return self._handle_install(sender, message)
         now = self.read_clock()
         result = raft.step(
             self.raft, sender, message, now, self.random.random()
         )
-        self._note_role_change(result.state)
+        self._set_raft_state(result.state)
         return result.outbox
 
-    def _note_role_change(self, new):
-        if new.role == "leader" and self.raft.role != "leader":
-            self._announce_leadership(new)
-        self.raft = new
+    def _set_raft_state(self, new_state):
+        if new_state.role == "leader" and self.raft.role != "leader":
+            self._handle_election_won(new_state)
+        self.raft = new_state
 
-    def _announce_leadership(self, new):
-        logs.log_decision("leadership", role="leader", term=new.term)
+    def _handle_election_won(self, new_state):
+        logs.log_decision("leadership", role="leader", term=new_state.term)
         for listener in self.leader_listeners:
             listener()
 
@@ -305,14 +316,18 @@
                 proposal.deferred.errback(self.build_no_leader_error())
             return ()
         self.raft = result.state
-        self.waiting_by_index[index] = Waiting(
+        self.pending_by_index[index] = PendingEntry(
             self.raft.term, now + PROPOSAL_TIMEOUT_MS, tuple(proposals)
         )
         return result.outbox
 
     def _advance(self, result: raft.Step):
-        """Make a step durable, then send its messages and apply commits."""
-        self._note_role_change(result.state)
+        """Make a step durable, then send its messages and apply its commits.
+
+        The order matters: other members may rely on a message only if its
+        state survives a crash of this member.
+        """
+        self._set_raft_state(result.state)
         try:
             self.storage.persist(self.persisted, self.raft)
         except storage_module.StorageError:
@@ -322,16 +337,16 @@
         for receiver, message in result.outbox:
             self._send(receiver, message)
         self._apply_committed()
-        self._maybe_snapshot()
+        self._start_snapshot_if_due()
 
     def _fail(self):
         if self.failed:
             return
         self.failed = True
         LOGGER.exception("control storage failed")
-        for waiting in self.waiting_by_index.values():
-            _fail_unknown(waiting)
-        self.waiting_by_index.clear()
+        for pending in self.pending_by_index.values():
+            _fail_with_unknown_outcome(pending)
+        self.pending_by_index.clear()
         self.on_failure()
 
     def _send(self, receiver, message):
@@ -364,22 +379,22 @@
         self.feed.reset(self.tables.version)
         self.placement = placement.PlacementIndex(self.tables)
 
-    def _install(self, sender, message):
+    def _handle_install(self, sender, message):
         now = self.read_clock()
         result = raft.step(
             self.raft, sender, message, now, self.random.random()
         )
-        self._note_role_change(result.state)
+        self._set_raft_state(result.state)
         if result.outbox:
             return result.outbox
-        mark = message.mark
-        if mark.index > self.raft.commit_index:
+        metadata = message.mark
+        if metadata.index > self.raft.commit_index:
             state = raft.install_snapshot(
-                self.raft, mark, now, self.random.random()
+                self.raft, metadata, now, self.random.random()
             )
             parts = state_module.split_parts(message.data)
-            snapshot = storage_module.SnapshotFile(mark, parts)
-            self._abandon_snapshot()
+            snapshot = storage_module.SnapshotFile(metadata, parts)
+            self._abort_snapshot()
             try:
                 self.storage.save_snapshot(snapshot, state)
             except storage_module.StorageError:
@@ -387,7 +402,7 @@
                 return ()
             self.raft = self.persisted = state
             self._load_tables(snapshot)
-        reply = raft.build_install_reply(self.raft, mark, message.sent_ms)
+        reply = raft.build_install_reply(self.raft, metadata, message.sent_ms)
         return ((sender, reply),)
 
     def _apply_committed(self):
@@ -397,7 +412,7 @@
             entry = raft.get_entries(self.raft, index, index)[0]
             self.applied_index = index
             results = self._apply_entry(entry)
-            self._resolve_waiting(entry, results)
+            self._resolve_pending(entry, results)
         if self.applied_index > before:
             for listener in self.applied_listeners:
                 listener()
@@ -407,115 +422,123 @@
             return ()
         self.tables = self.tables._replace(version=entry.index)
         results = []
-        touched = []
+        row_changes = []
         for command in state_module.decode_batch(entry.data):
             outcome = state_module.apply_command(command, self.tables)
             self.tables = outcome.state
             results.append(outcome.result)
-            touched.extend(outcome.changes)
+            row_changes.extend(outcome.changes)
             _log_placement(command)
-        self.feed.record(entry.index, touched)
-        self.placement.update(self.tables, touched)
+        self.feed.record(entry.index, row_changes)
+        self.placement.update(self.tables, row_changes)
         return results
 
-    def _resolve_waiting(self, entry, results):
-        waiting = self.waiting_by_index.pop(entry.index, None)
-        if waiting is None:
+    def _resolve_pending(self, entry, results):
+        pending = self.pending_by_index.pop(entry.index, None)
+        if pending is None:
             return
-        if waiting.term != entry.term:
-            for proposal in waiting.proposals:
+        if pending.term != entry.term:
+            for proposal in pending.proposals:
                 proposal.deferred.errback(self.build_no_leader_error())
             return
-        for proposal, result in zip(waiting.proposals, results):
+        for proposal, result in zip(pending.proposals, results):
             proposal.deferred.callback(result)
 
-    def _expire_waiting(self, now):
-        for index, waiting in list(self.waiting_by_index.items()):
-            if now > waiting.due_ms:
-                del self.waiting_by_index[index]
-                _fail_unknown(waiting)
+    def _expire_pending(self, now):
+        for index, pending in list(self.pending_by_index.items()):
+            if now > pending.due_ms:
+                del self.pending_by_index[index]
+                _fail_with_unknown_outcome(pending)
 
-    def _maybe_snapshot(self):
-        """Begin a snapshot if the log has grown long."""
-        if self.building is not None:
+    def _start_snapshot_if_due(self):
+        """Start a snapshot if the log has grown beyond its limits."""
+        if self.snapshot_build is not None:
             return
         entries = self.applied_index - self.raft.snapshot_index
-        large = self.storage.log_bytes > storage_module.REWRITE_BYTES
+        large = self.storage.log_bytes > storage_module.MAX_LOG_BYTES
         if entries < SNAPSHOT_ENTRIES and not (large and entries > 0):
             return
         state = raft.compact(self.raft, self.applied_index)
-        mark = raft_messages.SnapshotMetadata(
+        metadata = raft_messages.SnapshotMetadata(
             state.snapshot_index,
             state.snapshot_term,
             tuple(tuple(m) for m in state.snapshot_members),
         )
         try:
-            writer = self.storage.begin_snapshot(mark)
+            writer = self.storage.begin_snapshot(metadata)
         except storage_module.StorageError:
             self._fail()
             return
         source = state_module.split_image(self.tables)
-        self.building = SnapshotBuild(writer, source, [])
-        self._plan_slice()
+        self.snapshot_build = SnapshotBuild(writer, source, [])
+        self._schedule_slice()
 
-    def _plan_slice(self):
-        self.timers.call_later(0, self._build_slice, self.building)
+    def _schedule_slice(self):
+        self.timers.call_later(0, self._write_slice, self.snapshot_build)
 
-    def _build_slice(self, build):
-        """Encode and write some more rows; the log goes on meanwhile."""
-        if self.failed or self.building is not build:
+    def _write_slice(self, build):
+        """Write the next parts; the log is appended to between slices."""
+        if self.failed or self.snapshot_build is not build:
             return
         parts = tuple(itertools.islice(build.source, PARTS_PER_SLICE))
         try:
             if parts:
                 build.writer.add(parts)
                 build.parts.extend(parts)
-                self._plan_slice()
+                self._schedule_slice()
             else:
                 self._finish_snapshot(build)
         except storage_module.StorageError:
             self._fail()
 
     def _finish_snapshot(self, build):
-        self.building = None
-        mark = build.writer.mark
-        state = raft.compact(self.raft, mark.index)
-        # What was promised since the last turn is in the new log too.
+        self.snapshot_build = None
+        metadata = build.writer.metadata
+        state = raft.compact(self.raft, metadata.index)
+        # The new log also contains the entries appended during the snapshot.
         build.writer.finish(state)
         self.raft = self.persisted = state
-        self.snapshot = storage_module.SnapshotFile(mark, tuple(build.parts))
-        LOGGER.info("control snapshot", extra={"index": mark.index})
+        self.snapshot = storage_module.SnapshotFile(
+            metadata, tuple(build.parts)
+        )
+        LOGGER.info(
+            "control snapshot written", extra={"index": metadata.index}
+        )
 
-    def _abandon_snapshot(self):
-        if self.building is not None:
-            self.building.writer.abandon()
-            self.building = None
+    def _abort_snapshot(self):
+        if self.snapshot_build is not None:
+            self.snapshot_build.writer.abandon()
+            self.snapshot_build = None
 
-    def _ask_to_join(self):
-        """Ask to be a member, also if it was one and hears no leader.
+    def _request_join(self):
+        """Ask to join the group unless this is a member with a leader.
 
-        A member that was replaced while it was away still counts itself in
-        and would never hear of the others again.
+        A member that was removed while it was down still finds itself in its
+        own log and gets no messages. It asks again when it has had no
+        contact to a leader for `REJOIN_TIMEOUT_MS`.
         """
-        known = {m.member_id for m in self.raft.members}
+        member_ids = {m.member_id for m in self.raft.members}
         silent_ms = self.read_clock() - self.raft.leader_contact_ms
-        if self.identity.member_id in known and silent_ms < REJOIN_AFTER_MS:
+        if (
+            self.identity.member_id in member_ids
+            and silent_ms < REJOIN_TIMEOUT_MS
+        ):
             return
         join = raft_messages.Join(self.identity.member_id, self.address)
-        found = {*self.address_by_vm.values(), *self.seeds}
-        found.update(m.address for m in self.raft.members)
-        for address in sorted(found - {self.address}):
+        addresses = {*self.address_by_vm.values(), *self.seeds}
+        addresses.update(m.address for m in self.raft.members)
+        for address in sorted(addresses - {self.address}):
             self._send_join(address, join)
 
-    def _take_join(self, sender, join):
-        """Keep a request to join as the leader, else pass it to the leader.
+    def _handle_join(self, sender, join):
+        """Record a join request on the leader; otherwise forward it there.
 
-        A new member knows only the seeds, and none of them may lead. It
-        repeats its request, so nobody else keeps it. What was passed on
-        isn't passed on again, so that no request goes in circles.
+        A new member knows only the seeds, and possibly none of them is the
+        leader. It repeats its request, so only the leader records it. A
+        forwarded request is not forwarded again, which prevents loops.
         """
         if self.raft.role == "leader":
-            self.joins[join.member_id] = join.address
+            self.pending_joins[join.member_id] = join.address
             return
         address = self.find_leader_address()
         if sender == join.member_id and address is not None:
@@ -527,11 +550,11 @@
         )
         self.send(address, data)
 
-    def _tend_members(self, now):
+    def _reconcile_members(self, now):
         planned = membership.plan_promotion(self.raft, self.voters)
         if planned is None:
             planned = membership.plan_removal(
-                self.raft, self.voters, now, REPLACE_AFTER_MS
+                self.raft, self.voters, now, REPLACE_TIMEOUT_MS
             )
         if planned is None:
             planned = self._plan_next_join()
@@ -547,23 +570,23 @@
             self._advance(result)
 
     def _plan_next_join(self):
-        while self.joins:
-            member_id, address = next(iter(self.joins.items()))
+        while self.pending_joins:
+            member_id, address = next(iter(self.pending_joins.items()))
             planned = membership.plan_join(
                 self.raft.members, member_id, address
             )
             if planned is not None:
                 return planned
-            del self.joins[member_id]
+            del self.pending_joins[member_id]
         return None
 
 
-def _fail_unknown(waiting: Waiting):
-    for proposal in waiting.proposals:
+def _fail_with_unknown_outcome(pending: PendingEntry):
+    for proposal in pending.proposals:
         proposal.deferred.errback(
             errors.build_error(
                 errors.ErrorKind.OUTCOME_UNKNOWN,
-                "the change may or may not be accepted",
+                "the change was not confirmed; it may or may not take effect",
             )
         )
 
--- a/chervilspindle/control/storage.py
+++ b/chervilspindle/control/storage.py
@@ -1,10 +1,10 @@
-"""Durable storage of one member: a log file and snapshots.
+"""Durable storage of one member: a write-ahead log and a snapshot.
 
-Every record carries its length and a CRC-32. A torn last record, left by a
-crash in the middle of a write, is cut off at recovery; damage before the
-last record is refused, because entries that were promised would be lost.
-A write returns only after fsync. Any failure leaves the storage unusable,
-so that the process stops instead of promising what it may not hold.
+Every record has its length and a CRC-32. A torn last record, left by a crash
+during a write, is truncated at recovery. Damage before the last record is an
+error, because acknowledged entries would be lost. Writes return only after
+fsync. After any failed write the storage rejects further writes, so that the
+process stops instead of acknowledging data that may not be durable.
 """
 
 import contextlib
@@ -22,7 +22,7 @@
 IDENTITY_FILE = "identity.json"
 LOG_FILE = "log"
 SNAPSHOT_FILE = "snapshot"
-REWRITE_BYTES = 8 * 1024 * 1024
+MAX_LOG_BYTES = 8 * 1024 * 1024
 
 
 class StorageError(Exception):
@@ -30,40 +30,53 @@
 
 
 class Identity(typing.NamedTuple):
-    """Who this disk is: its group, its member id, and if it bootstraps."""
+    """Identity of a data folder: its group and its member id."""
 
     group: str
     member_id: str
 
 
 class HardRecord(typing.NamedTuple):
-    """Record of a promise."""
+    """Log record of a term and a vote."""
 
     term: int
     voted_for: str
 
 
 class AppendRecord(typing.NamedTuple):
-    """Record of entries that replace all from the first one's index on."""
+    """Log record of entries.
+
+    They replace all earlier entries from the index of the first one on.
+    """
 
     entries: tuple[messages.Entry, ...]
 
 
 class SnapshotFile(typing.NamedTuple):
-    """Content of a snapshot file: what it covers, and parts of the tables."""
+    """Content of a snapshot file: metadata, and tables in parts."""
 
     mark: messages.SnapshotMetadata
     parts: tuple[bytes, ...]
 
 
 class SnapshotEnd(typing.NamedTuple):
-    """Last record of a whole snapshot file."""
+    """Last record of a complete snapshot file: the number of parts."""
 
     parts: int
 
 
-class Recovered(typing.NamedTuple):
-    """What recovery found on the disk."""
+class RecoveredState(typing.NamedTuple):
+    """State recovered from disk.
+
+    Parameters
+    ----------
+    hard : HardState
+    log : tuple of Entry
+        Entries after the snapshot.
+    snapshot : SnapshotFile
+    torn_bytes : int
+        Bytes that were truncated at the end of the log.
+    """
 
     hard: messages.HardState
     log: tuple[messages.Entry, ...]
@@ -74,21 +87,21 @@
 EMPTY_SNAPSHOT = SnapshotFile(messages.SnapshotMetadata(0, 0, ()), ())
 
 _ENCODER = msgspec.msgpack.Encoder()
-_RECORD = msgspec.msgpack.Decoder(tuple[str, msgspec.Raw])
-_HARD = msgspec.msgpack.Decoder(HardRecord)
-_APPEND = msgspec.msgpack.Decoder(AppendRecord)
-_MARK = msgspec.msgpack.Decoder(messages.SnapshotMetadata)
+_RECORD_DECODER = msgspec.msgpack.Decoder(tuple[str, msgspec.Raw])
+_HARD_DECODER = msgspec.msgpack.Decoder(HardRecord)
+_APPEND_DECODER = msgspec.msgpack.Decoder(AppendRecord)
+_METADATA_DECODER = msgspec.msgpack.Decoder(messages.SnapshotMetadata)
 
 
 class Storage:
-    """One member's data folder.
+    """Data folder of one member.
 
     Parameters
     ----------
     folder : str
-        Exists already and is used by this process alone.
-    fsync : callable
-        Replaced by tests that bring about failures of the disk.
+        Must exist and be used by this process only.
+    fsync, write : callable
+        Tests replace these to inject disk failures.
     """
 
     def __init__(self, folder: str, fsync=os.fsync, write=os.write):
@@ -99,13 +112,13 @@
         self.log_bytes = 0
         self.failed = False
 
-    def recover(self) -> Recovered:
-        """Read snapshot and log, cut a torn tail, and open for appending.
+    def recover(self) -> RecoveredState:
+        """Read snapshot and log, truncate a torn tail, open for appending.
 
         Raises
         ------
         StorageError
-            If damage is found that a torn write can't explain.
+            If there is damage that a torn write does not explain.
         """
         snapshot = self._read_snapshot()
         path = os.path.join(self.folder, LOG_FILE)
@@ -113,10 +126,10 @@
         records, valid = split_records(data)
         hard, log = replay_records(records, snapshot.mark)
         self._open(path, valid)
-        return Recovered(hard, log, snapshot, len(data) - valid)
+        return RecoveredState(hard, log, snapshot, len(data) - valid)
 
     def persist(self, old, new):
-        """Make the difference of two raft states durable.
+        """Make the difference of two Raft states durable.
 
         Raises
         ------
@@ -124,33 +137,33 @@
         """
         chunks = []
         if (old.term, old.voted_for) != (new.term, new.voted_for):
-            chunks.append(_pack(HardRecord(new.term, new.voted_for)))
-        fresh = diff_log(old, new)
-        if fresh is not None:
-            chunks.append(_pack(AppendRecord(fresh)))
+            chunks.append(_encode_record(HardRecord(new.term, new.voted_for)))
+        appended = diff_log(old, new)
+        if appended is not None:
+            chunks.append(_encode_record(AppendRecord(appended)))
         if chunks:
             self._append(b"".join(chunks))
 
     def save_snapshot(self, snapshot: SnapshotFile, state):
-        """Write a snapshot, then a log that starts after it."""
+        """Write a snapshot at once, then a log that starts after it."""
         writer = self.begin_snapshot(snapshot.mark)
         writer.add(snapshot.parts)
         writer.finish(state)
 
-    def begin_snapshot(self, mark: messages.SnapshotMetadata):
-        """Begin to write a snapshot part by part.
+    def begin_snapshot(self, metadata: messages.SnapshotMetadata):
+        """Start to write a snapshot incrementally.
 
         Returns
         -------
         SnapshotWriter
         """
-        return SnapshotWriter(self, mark)
+        return SnapshotWriter(self, metadata)
 
-    def start_log_after(self, mark: messages.SnapshotMetadata, state):
+    def rewrite_log(self, metadata: messages.SnapshotMetadata, state):
         """Replace the log by one that starts after a snapshot."""
-        hard = _pack(HardRecord(state.term, state.voted_for))
-        kept = tuple(e for e in state.log if e.index > mark.index)
-        body = hard + _pack(AppendRecord(kept))
+        hard = _encode_record(HardRecord(state.term, state.voted_for))
+        kept = tuple(e for e in state.log if e.index > metadata.index)
+        body = hard + _encode_record(AppendRecord(kept))
         self._replace(LOG_FILE, body)
         if self.handle is not None:
             os.close(self.handle)
@@ -168,11 +181,14 @@
             return EMPTY_SNAPSHOT
         records, valid = split_records(data)
         if len(records) < 2 or valid != len(data):
-            raise StorageError(f"damaged snapshot in {self.folder}")
+            raise StorageError(
+                f"snapshot in {self.folder} is damaged: "
+                f"{valid} of {len(data)} bytes are valid"
+            )
         parts = tuple(records[1:-1])
         if records[-1] != _ENCODER.encode(SnapshotEnd(len(parts))):
-            raise StorageError(f"cut off snapshot in {self.folder}")
-        return SnapshotFile(_MARK.decode(records[0]), parts)
+            raise StorageError(f"snapshot in {self.folder} is truncated")
+        return SnapshotFile(_METADATA_DECODER.decode(records[0]), parts)
 
     def _open(self, path: str, size: int):
         flags = os.O_RDWR | os.O_CREAT
@@ -184,13 +200,13 @@
         self.log_bytes = size
 
     def _append(self, data: bytes):
-        with self.guard():
+        with self.convert_errors():
             self.write_all(self.handle, data)
             self.fsync(self.handle)
         self.log_bytes += len(data)
 
     def write_all(self, handle: int, data: bytes):
-        """Write all bytes."""
+        """Write all bytes; a single write may be short."""
         view = memoryview(data)
         while view:
             written = self.write(handle, view)
@@ -198,30 +214,32 @@
 
     def _replace(self, name: str, data: bytes):
         path = os.path.join(self.folder, name)
-        with self.guard():
-            handle = open_new(path)
+        with self.convert_errors():
+            handle = open_temporary(path)
             try:
                 self.write_all(handle, data)
                 self.fsync(handle)
             finally:
                 os.close(handle)
-            self.put_in_place(path)
+            self.publish(path)
 
-    def put_in_place(self, path: str):
-        """Give a file that was written whole its name."""
+    def publish(self, path: str):
+        """Atomically rename a complete temporary file to its final name."""
         os.replace(path + ".new", path)
         self._sync_folder()
 
     @contextlib.contextmanager
-    def guard(self):
-        """Turn a failure of the disk into a `StorageError`, for good."""
+    def convert_errors(self):
+        """Convert an `OSError` to a `StorageError` and reject later writes."""
         if self.failed:
-            raise StorageError("storage failed before")
+            raise StorageError("storage is unusable after a failed write")
         try:
             yield
         except OSError as error:
             self.failed = True
-            raise StorageError(f"write to {self.folder}: {error}") from error
+            raise StorageError(
+                f"write to {self.folder} failed: {error}"
+            ) from error
 
     def _sync_folder(self):
         handle = os.open(self.folder, os.O_RDONLY)
@@ -232,23 +250,23 @@
 
 
 class SnapshotWriter:
-    """Writes a snapshot part by part, each synced, and names it at the end.
+    """Writes a snapshot incrementally to a temporary file, with fsync.
 
-    The file counts only once it is whole and in place; until then the old
-    snapshot and the log stand.
+    `finish` publishes it. Until then recovery uses the previous snapshot and
+    the log.
     """
 
-    def __init__(self, storage: Storage, mark: messages.SnapshotMetadata):
+    def __init__(self, storage: Storage, metadata: messages.SnapshotMetadata):
         self.storage = storage
-        self.mark = mark
+        self.metadata = metadata
         self.path = os.path.join(storage.folder, SNAPSHOT_FILE)
         self.count = 0
-        with storage.guard():
-            self.handle = open_new(self.path)
-            storage.write_all(self.handle, _frame(_ENCODER.encode(mark)))
+        with storage.convert_errors():
+            self.handle = open_temporary(self.path)
+            storage.write_all(self.handle, _frame(_ENCODER.encode(metadata)))
 
     def add(self, parts):
-        """Write and sync some parts.
+        """Write and fsync some parts.
 
         Raises
         ------
@@ -256,29 +274,29 @@
         """
         data = b"".join(_frame(part) for part in parts)
         self.count += len(parts)
-        with self.storage.guard():
+        with self.storage.convert_errors():
             self.storage.write_all(self.handle, data)
             self.storage.fsync(self.handle)
 
     def finish(self, state):
-        """Put the snapshot in place, then a log that starts after it."""
+        """Publish the snapshot, then write a log that starts after it."""
         end = _frame(_ENCODER.encode(SnapshotEnd(self.count)))
-        with self.storage.guard():
+        with self.storage.convert_errors():
             self.storage.write_all(self.handle, end)
             self.storage.fsync(self.handle)
             self.abandon()
-            self.storage.put_in_place(self.path)
-        self.storage.start_log_after(self.mark, state)
+            self.storage.publish(self.path)
+        self.storage.rewrite_log(self.metadata, state)
 
     def abandon(self):
-        """Close the file; what was written of it counts for nothing."""
+        """Close the temporary file; without `finish` it is never read."""
         if self.handle is not None:
             os.close(self.handle)
             self.handle = None
 
 
-def open_new(path: str) -> int:
-    """Open the file that will replace another one."""
+def open_temporary(path: str) -> int:
+    """Open the temporary file that will replace `path`."""
     flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC
     return os.open(path + ".new", flags, 0o600)
 
@@ -289,12 +307,12 @@
     Returns
     -------
     records, valid : list of bytes, int
-        `valid` is the length of the part that holds whole records.
+        `valid` is the length in bytes of the valid records.
 
     Raises
     ------
     StorageError
-        If a damaged record is followed by a whole one.
+        If a damaged record is followed by a valid one.
     """
     records = []
     offset = 0
@@ -302,15 +320,15 @@
         length, checksum = HEADER.unpack_from(data, offset)
         body = data[offset + HEADER.size : offset + HEADER.size + length]
         if len(body) < length or zlib.crc32(body) != checksum:
-            _refuse_damage(data, offset, length)
+            _raise_if_not_torn_tail(data, offset, length)
             break
         records.append(body)
         offset += HEADER.size + length
     return records, offset
 
 
-def replay_records(records, mark: messages.SnapshotMetadata):
-    """Rebuild the promise and the log from records.
+def replay_records(records, metadata: messages.SnapshotMetadata):
+    """Rebuild the hard state and the log from records.
 
     Returns
     -------
@@ -319,26 +337,33 @@
     hard = messages.HardState(0, "")
     log: list[messages.Entry] = []
     for record in records:
-        kind, body = _RECORD.decode(record)
-        if kind == HardRecord.__name__:
-            hard = messages.HardState(*_HARD.decode(body))
+        tag, body = _RECORD_DECODER.decode(record)
+        if tag == HardRecord.__name__:
+            hard = messages.HardState(*_HARD_DECODER.decode(body))
             continue
-        entries = _APPEND.decode(body).entries
+        entries = _APPEND_DECODER.decode(body).entries
         if entries:
             first = entries[0].index
             while log and log[-1].index >= first:
                 log.pop()
             log.extend(entries)
-    kept = tuple(e for e in log if e.index > mark.index)
-    if kept and kept[0].index != mark.index + 1:
-        raise StorageError("log does not continue the snapshot")
+    kept = tuple(e for e in log if e.index > metadata.index)
+    if kept and kept[0].index != metadata.index + 1:
+        raise StorageError(
+            f"log starts at index {kept[0].index}, "
+            f"but the snapshot ends at {metadata.index}"
+        )
     return hard, kept
 
 
 def diff_log(old, new):
-    """Return the entries that turn the old log into the new, None if same.
+    """Return the entries that turn the old log into the new one.
 
-    Both logs are immutable, so an untouched prefix is shared.
+    Returns
+    -------
+    tuple of Entry or None
+        Entries from the first difference on, None if there is none. The logs
+        are immutable and share their common prefix.
     """
     if old.log is new.log:
         return None
@@ -351,16 +376,16 @@
         if left is not right and left != right:
             break
         common += 1
-    fresh = new_part[common:]
-    if fresh:
-        return fresh
+    appended = new_part[common:]
+    if appended:
+        return appended
     if start + common - 1 < old_last and new.snapshot_index < old_last:
-        raise StorageError("a log never shrinks without new entries")
+        raise StorageError("log became shorter without new entries")
     return None
 
 
 def load_identity(folder: str) -> Identity | None:
-    """Read the identity of a data folder, None if it has none."""
+    """Return the identity of a data folder, None if it has none."""
     data = _read_file(os.path.join(folder, IDENTITY_FILE))
     if not data:
         return None
@@ -368,18 +393,18 @@
 
 
 def create_identity(folder: str, group: str, vm_id: str) -> Identity:
-    """Give an empty data folder a new, unique member id, durably."""
+    """Write an identity with a new, unique member id to an empty folder."""
     os.makedirs(folder, mode=0o700, exist_ok=True)
     if os.path.exists(os.path.join(folder, LOG_FILE)):
-        raise StorageError(f"{folder} holds a log but no identity")
+        raise StorageError(f"{folder} contains a log but no identity file")
     identity = Identity(group, f"{vm_id}#{uuid.uuid4().hex[:12]}")
     storage = Storage(folder)
     storage._replace(IDENTITY_FILE, msgspec.json.encode(identity))
     return identity
 
 
-def _refuse_damage(data: bytes, offset: int, length: int):
-    """Refuse a damaged record that whole records follow."""
+def _raise_if_not_torn_tail(data: bytes, offset: int, length: int):
+    """Raise if the damaged record at `offset` is followed by a valid one."""
     following = offset + HEADER.size + length
     if following + HEADER.size > len(data):
         return
@@ -387,10 +412,13 @@
     body = data[following + HEADER.size :][:next_length]
     if next_length and len(body) == next_length:
         if zlib.crc32(body) == checksum:
-            raise StorageError(f"damaged record at byte {offset}")
+            raise StorageError(
+                f"record at byte {offset} is damaged, "
+                "but followed by a valid one"
+            )
 
 
-def _pack(record) -> bytes:
+def _encode_record(record) -> bytes:
     body = _ENCODER.encode(record)
     return _frame(_ENCODER.encode((type(record).__name__, msgspec.Raw(body))))
 
