--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -320,7 +320,7 @@
                     break
                 writer.add(parts)
                 longest = max(longest, time.perf_counter() - started)
-            writer.abandon()
+            writer.close()
             storage.close()
         yield claims, longest * 1e6
 
--- a/chervilspindle/control/node.py
+++ b/chervilspindle/control/node.py
@@ -507,7 +507,7 @@
 
     def _abort_snapshot(self):
         if self.snapshot_build is not None:
-            self.snapshot_build.writer.abandon()
+            self.snapshot_build.writer.close()
             self.snapshot_build = None
 
     def _request_join(self):
--- a/chervilspindle/control/storage.py
+++ b/chervilspindle/control/storage.py
@@ -284,11 +284,11 @@
         with self.storage.convert_errors():
             self.storage.write_all(self.handle, end)
             self.storage.fsync(self.handle)
-            self.abandon()
+            self.close()
             self.storage.publish(self.path)
         self.storage.rewrite_log(self.metadata, state)
 
-    def abandon(self):
+    def close(self):
         """Close the temporary file; without `finish` it is never read."""
         if self.handle is not None:
             os.close(self.handle)
