--- a/chervilspindle/control/node_test.py
+++ b/chervilspindle/control/node_test.py
@@ -1,4 +1,4 @@
-"""Nodes of one group that know each other by seeds alone."""
+"""Tests of control nodes that find each other through seed addresses only."""
 
 import functools
 
@@ -14,13 +14,13 @@
 
 
 class Group:
-    """Five nodes over a network in memory; two of them are seeds."""
+    """Five nodes with an in-memory network; two of them are seeds."""
 
     def __init__(self, folder):
         self.folder = folder
         self.clock = task.Clock()
         self.node_by_vm = {}
-        self.cuts = set()
+        self.isolated = set()
         self.starts = 0
         self.vms = tuple(f"core-{n}" for n in range(5))
         for vm_id in self.vms:
@@ -51,57 +51,57 @@
         node.start()
 
     def read_ms(self):
-        """Return the time of the group, in ms."""
+        """Return the simulated time, in ms."""
         return 1e6 + self.clock.seconds() * 1000.0
 
     def send(self, sender, address, data):
-        """Deliver a message in the next turn, unless its path is cut."""
+        """Deliver a message in the next turn if neither end is isolated."""
         self.clock.callLater(TURN_S, self._deliver, sender, address, data)
 
     def _deliver(self, sender, address, data):
-        if not {sender, address} & self.cuts:
+        if not {sender, address} & self.isolated:
             self.node_by_vm[address].receive(data, sender)
 
     def run(self, seconds):
-        """Let time pass."""
+        """Advance the simulated time."""
         for _ in range(round(seconds / TURN_S)):
             self.clock.advance(TURN_S)
 
-    def lose_disk(self, vm_id):
-        """Replace a node by one with an empty disk."""
+    def replace_disk(self, vm_id):
+        """Restart a node with an empty disk."""
         self.node_by_vm[vm_id].stop()
         self.start(vm_id)
 
     def find_leader(self):
-        """Return the VM that leads."""
+        """Return the VM of the leader."""
         return next(v for v, n in self.node_by_vm.items() if n.is_leader())
 
     def list_voters(self):
-        """Return the voters as the leader knows them."""
+        """Return the member ids of the voters in the leader's log."""
         leader = self.node_by_vm[self.find_leader()]
         return raft.list_voters(leader.raft)
 
     def list_ids(self):
-        """Return the member ids of the nodes as they are now."""
+        """Return the present member ids of all nodes."""
         nodes = self.node_by_vm.values()
         return {n.identity.member_id for n in nodes}
 
     def move_leader(self, targets):
-        """Cut leaders off for a while until one of `targets` leads."""
+        """Isolate leaders for a while until one of `targets` is elected."""
         for _ in range(50):
             leader = self.find_leader()
             if leader in targets:
                 return
-            self.cuts = {leader}
+            self.isolated = {leader}
             self.run(4.0)
-            self.cuts = set()
+            self.isolated = set()
             self.run(1.0)
-        raise AssertionError("no such leader")
+        raise AssertionError(f"none of {targets} was elected")
 
 
 @pytest.fixture
 def group(tmp_path):
-    """A group whose five members all vote."""
+    """A group of five voters."""
     group = Group(tmp_path)
     group.run(10.0)
     assert len(group.list_voters()) == 5
@@ -110,27 +110,31 @@
         node.stop()
 
 
-def test_new_disk_joins_though_no_seed_leads(group):
+def test_new_disk_joins_when_no_seed_is_the_leader(group):
     group.move_leader(group.vms[2:])
-    group.lose_disk(next(v for v in group.vms[2:] if v != group.find_leader()))
+    group.replace_disk(
+        next(v for v in group.vms[2:] if v != group.find_leader())
+    )
     group.run(5.0)
     assert set(group.list_voters()) == group.list_ids()
 
 
-def test_two_more_disks_are_lost_after_one_was_replaced(group):
+def test_two_more_disks_are_replaced_after_the_first(group):
     group.move_leader(group.vms[2:])
-    group.lose_disk(next(v for v in group.vms[2:] if v != group.find_leader()))
+    group.replace_disk(
+        next(v for v in group.vms[2:] if v != group.find_leader())
+    )
     group.run(5.0)
     for vm_id in [v for v in group.vms[2:] if v != group.find_leader()]:
-        group.lose_disk(vm_id)
+        group.replace_disk(vm_id)
     group.run(10.0)
     assert set(group.list_voters()) == group.list_ids()
 
 
-def test_requests_to_join_do_not_outlive_their_disk(group):
+def test_join_request_of_a_replaced_disk_is_discarded(group):
     group.move_leader(group.vms[:1])
     stale = group.node_by_vm["core-4"].identity.member_id
-    group.lose_disk("core-4")
+    group.replace_disk("core-4")
     group.run(5.0)
     assert set(group.list_voters()) == group.list_ids()
     group.move_leader(group.vms[1:2])
--- a/chervilspindle/control/raft_test.py
+++ b/chervilspindle/control/raft_test.py
@@ -71,7 +71,7 @@
     def crash(self, member_id):
         self.state_by_id.pop(member_id, None)
 
-    def lose_disk(self, member_id):
+    def replace_disk(self, member_id):
         """Replace the disk; the VM restarts as a new member."""
         self.crash(member_id)
         del self.disk_by_id[member_id]
@@ -254,7 +254,7 @@
         self.cluster.start(member_id)
 
     @stateful.rule(number=strategies.integers(0, 2))
-    def lose_disk(self, number):
+    def replace_disk(self, number):
         """Replace one disk while all members are running and caught up."""
         states = self.cluster.state_by_id
         if len(states) < 3 or self.cluster.cut_links:
@@ -265,7 +265,7 @@
             return
         voters = raft.list_voters(states[leader[0]])
         if len(voters) == 3 and set(voters) <= set(states):
-            self.cluster.lose_disk(self.pick_member(number))
+            self.cluster.replace_disk(self.pick_member(number))
 
     @stateful.rule(
         first=strategies.integers(0, 2), second=strategies.integers(0, 2)
@@ -379,7 +379,7 @@
     cluster.run(3000)
     leader = get_leader(cluster)
     lost = next(i for i in cluster.disk_by_id if i != leader)
-    cluster.lose_disk(lost)
+    cluster.replace_disk(lost)
     cluster.run(5000)
     voters = raft.list_voters(cluster.state_by_id[leader])
     assert lost not in voters
@@ -392,7 +392,7 @@
     cluster.run(3000)
     first = get_leader(cluster)
     lost = next(i for i in cluster.disk_by_id if i != first)
-    cluster.lose_disk(lost)
+    cluster.replace_disk(lost)
     cluster.propose(b"during")
     cluster.run(60)
     second = next(
--- a/chervilspindle/control/storage_test.py
+++ b/chervilspindle/control/storage_test.py
@@ -1,4 +1,4 @@
-"""Tests of durable storage under torn, damaged and failing writes."""
+"""Tests of durable storage with torn, damaged and failed writes."""
 
 import os
 
@@ -40,7 +40,7 @@
     storage.close()
 
 
-def test_what_was_written_is_recovered(tmp_path):
+def test_written_state_is_recovered(tmp_path):
     state = build_state(5, term=3)._replace(voted_for="vm#2")
     write(tmp_path, state)
     _, recovered = open_storage(tmp_path)
@@ -58,7 +58,7 @@
 
 @hypothesis.given(cut=strategies.integers(1, 400))
 @hypothesis.settings(derandomize=True, max_examples=60, deadline=None)
-def test_torn_tail_keeps_all_whole_records(tmp_path_factory, cut):
+def test_torn_tail_keeps_all_complete_records(tmp_path_factory, cut):
     folder = tmp_path_factory.mktemp("torn")
     states = [build_state(n) for n in range(1, 8)]
     write(folder, *states)
@@ -71,11 +71,11 @@
         build_state(len(recovered.log)), build_state(len(recovered.log) + 1)
     )
     storage.close()
-    _, again = open_storage(folder)
-    assert len(again.log) == len(recovered.log) + 1
+    _, reopened = open_storage(folder)
+    assert len(reopened.log) == len(recovered.log) + 1
 
 
-def test_damage_before_the_last_record_is_refused(tmp_path):
+def test_damage_before_the_last_record_is_an_error(tmp_path):
     write(tmp_path, *(build_state(n) for n in range(1, 8)))
     path = tmp_path / "log"
     data = bytearray(path.read_bytes())
@@ -85,12 +85,12 @@
         open_storage(tmp_path)
 
 
-def test_damaged_snapshot_is_refused(tmp_path):
+def test_damaged_snapshot_is_an_error(tmp_path):
     storage, _ = open_storage(tmp_path)
     state = build_state(5)._replace(commit_index=5)
-    mark = messages.SnapshotMetadata(5, 1, ())
+    metadata = messages.SnapshotMetadata(5, 1, ())
     storage.save_snapshot(
-        storage_module.SnapshotFile(mark, (b"x" * 50,)), state
+        storage_module.SnapshotFile(metadata, (b"x" * 50,)), state
     )
     storage.close()
     path = tmp_path / "snapshot"
@@ -104,9 +104,9 @@
     state = build_state(8)._replace(commit_index=5)
     storage.persist(build_state(term=0), state)
     compacted = raft.compact(state, 5)
-    mark = messages.SnapshotMetadata(5, 1, ())
+    metadata = messages.SnapshotMetadata(5, 1, ())
     storage.save_snapshot(
-        storage_module.SnapshotFile(mark, (b"ta", b"bles")), compacted
+        storage_module.SnapshotFile(metadata, (b"ta", b"bles")), compacted
     )
     storage.close()
     _, recovered = open_storage(tmp_path)
@@ -136,32 +136,32 @@
     assert len(recovered.log) == 4
 
 
-def test_each_new_disk_has_a_new_identity(tmp_path):
+def test_each_data_folder_has_its_own_member_id(tmp_path):
     first = storage_module.create_identity(str(tmp_path / "a"), "g", "vm")
     second = storage_module.create_identity(str(tmp_path / "b"), "g", "vm")
     assert first.member_id != second.member_id
     assert storage_module.load_identity(str(tmp_path / "a")) == first
 
 
-def test_log_without_identity_is_refused(tmp_path):
+def test_log_without_identity_is_an_error(tmp_path):
     write(tmp_path, build_state(2))
     with pytest.raises(storage_module.StorageError):
         storage_module.create_identity(str(tmp_path), "g", "vm")
 
 
 def begin_snapshot(storage, state, index=5):
-    mark = messages.SnapshotMetadata(index, 1, ())
-    writer = storage.begin_snapshot(mark)
+    metadata = messages.SnapshotMetadata(index, 1, ())
+    writer = storage.begin_snapshot(metadata)
     writer.add((b"first", b"second"))
     return writer
 
 
-def test_unfinished_snapshot_counts_for_nothing(tmp_path):
+def test_unfinished_snapshot_is_ignored(tmp_path):
     storage, _ = open_storage(tmp_path)
     state = build_state(8)._replace(commit_index=5)
     storage.persist(build_state(term=0), state)
     begin_snapshot(storage, state)
-    # The log goes on while the snapshot is written, then the VM crashes.
+    # The VM crashes after an entry was appended during the snapshot.
     longer = build_state(9)._replace(commit_index=5)
     storage.persist(state, longer)
     storage.close()
@@ -170,7 +170,7 @@
     assert len(recovered.log) == 9
 
 
-def test_entries_written_during_a_snapshot_follow_it(tmp_path):
+def test_entries_appended_during_a_snapshot_are_recovered(tmp_path):
     storage, _ = open_storage(tmp_path)
     state = build_state(8)._replace(commit_index=5)
     storage.persist(build_state(term=0), state)
@@ -184,7 +184,7 @@
     assert [e.index for e in recovered.log] == [6, 7, 8, 9]
 
 
-def test_snapshot_without_its_end_is_refused(tmp_path):
+def test_truncated_snapshot_is_an_error(tmp_path):
     storage, _ = open_storage(tmp_path)
     state = build_state(8)._replace(commit_index=5)
     storage.persist(build_state(term=0), state)
