--- a/chervilspindle/control/node.py
+++ b/chervilspindle/control/node.py
@@ -514,8 +514,8 @@
         """Ask to join the group unless this is a member with a leader.
 
         A member that was removed while it was down still finds itself in its
-        own log and gets no messages. It asks again when it has had no
-        contact to a leader for `REJOIN_TIMEOUT_MS`.
+        own log but gets no messages. It asks again when it has had no
+        contact with a leader for `REJOIN_TIMEOUT_MS`.
         """
         member_ids = {m.member_id for m in self.raft.members}
         silent_ms = self.read_clock() - self.raft.leader_contact_ms
--- a/chervilspindle/control/raft.py
+++ b/chervilspindle/control/raft.py
@@ -616,7 +616,7 @@
     state = _follow_leader(state, sender, now, jitter)
     previous = message.previous_index
     if previous < state.snapshot_index:
-        # The own snapshot covers the start of the batch.
+        # The snapshot of this member covers the start of the batch.
         kept = tuple(
             e for e in message.entries if e.index > state.snapshot_index
         )
