--- a/chervilspindle/control/storage.py
+++ b/chervilspindle/control/storage.py
@@ -393,7 +393,7 @@
 
 
 def create_identity(folder: str, group: str, vm_id: str) -> Identity:
-    """Write an identity with a new, unique member id to an empty folder."""
+    """Durably write an identity with a new member id to an empty folder."""
     os.makedirs(folder, mode=0o700, exist_ok=True)
     if os.path.exists(os.path.join(folder, LOG_FILE)):
         raise StorageError(f"{folder} contains a log but no identity file")
