--- a/chervilspindle/query/entry.py
+++ b/chervilspindle/query/entry.py
@@ -322,8 +322,8 @@
         if not rate:
             return
         vms = self.directory.ready_vms
-        buckets = rates.forget_oldest(self.bucket_by_customer)
-        verdict = rates.take(
+        buckets = rates.evict_oldest(self.bucket_by_customer)
+        verdict = rates.take_token(
             buckets.get(grant.customer), rate, max(1, vms), self.read_clock()
         )
         buckets[grant.customer] = verdict.bucket
--- a/chervilspindle/query/gather.py
+++ b/chervilspindle/query/gather.py
@@ -81,7 +81,7 @@
         )
         self.query_by_id = {}
         self.stats_by_endpoint = {}
-        self.lateness = hedging.Lateness(typical_ms_by_service={})
+        self.lateness = hedging.LatencyStats(typical_ms_by_service={})
         self.parts_by_customer = {}
         self.weight_by_customer = {}
         self.parts_in_flight = 0
@@ -221,9 +221,9 @@
                 )
             else:
                 chosen.append((shard, endpoint_id))
-        self.hedge_budget = hedging.earn(self.hedge_budget, len(chosen))
-        self.rescue_budget = hedging.earn(self.rescue_budget, len(chosen))
-        self.retry_budget = hedging.earn(self.retry_budget, len(chosen))
+        self.hedge_budget = hedging.deposit(self.hedge_budget, len(chosen))
+        self.rescue_budget = hedging.deposit(self.rescue_budget, len(chosen))
+        self.retry_budget = hedging.deposit(self.retry_budget, len(chosen))
         self._send_parts(query, chosen, "expected-finish")
         self._finish_if_settled(query)
 
@@ -249,7 +249,7 @@
             )
             shard.tried.append(endpoint_id)
             shard.sent_ms = shard.sent_ms or now
-            self._update_stats(endpoint_id, replicas.note_sent, now)
+            self._update_stats(endpoint_id, replicas.record_sent, now)
             self._schedule_hedge(query, shard, now)
         request = query.request
         for session, parts in parts_by_session.items():
@@ -277,7 +277,7 @@
     def _schedule_hedge(self, query, shard, now, kind="hedge"):
         if not self.may_hedge or len(shard.plan.endpoint_ids) < 2:
             return
-        delay = hedging.get_delay_ms(self.lateness, shard.plan.service)
+        delay = hedging.get_hedge_delay_ms(self.lateness, shard.plan.service)
         if now + delay < query.due_ms:
             item = (query.attempt, shard.index)
             self._schedule(now + delay, kind, query, item)
@@ -311,7 +311,7 @@
             return
         if not self._is_straggler(query, shard):
             item = (query.attempt, shard.index)
-            due = self.read_clock() + hedging.RECHECK_MS
+            due = self.read_clock() + hedging.RECHECK_INTERVAL_MS
             kind = "rescue" if is_rescue else "hedge"
             self._schedule(due, kind, query, item)
             return
@@ -327,15 +327,19 @@
         self._send_parts(query, [(shard, endpoint_id)], reason)
 
     def _is_straggler(self, query, shard):
-        delay = hedging.get_delay_ms(self.lateness, shard.plan.service)
+        delay = hedging.get_hedge_delay_ms(self.lateness, shard.plan.service)
         late = (self.read_clock() - shard.sent_ms) / delay
         return hedging.is_straggler(len(query.shards), query.open_count, late)
 
     def _spend_hedge(self, is_rescue):
         if is_rescue:
-            self.rescue_budget, granted = hedging.spend(self.rescue_budget)
+            self.rescue_budget, granted = hedging.try_withdraw(
+                self.rescue_budget
+            )
         else:
-            self.hedge_budget, granted = hedging.spend(self.hedge_budget)
+            self.hedge_budget, granted = hedging.try_withdraw(
+                self.hedge_budget
+            )
         return granted
 
     def _refuse_hedge(self, query, shard, endpoint_id, is_rescue):
@@ -371,13 +375,15 @@
         now = self.read_clock()
         self._update_stats(
             reply.endpoint_id,
-            replicas.note_reply,
+            replicas.record_reply,
             reply.service_ms,
             reply.backlog_ms,
             now,
         )
         if reply.status in _UNHEALTHY:
-            self._update_stats(reply.endpoint_id, replicas.mark_failed, now)
+            self._update_stats(
+                reply.endpoint_id, replicas.record_unavailable, now
+            )
         shard.may_have_run = shard.may_have_run or reply.dispatched
         if shard.settled:
             return
@@ -405,7 +411,7 @@
             return False
         if not self._is_usable(send.endpoint_id):
             return False
-        self._update_stats(send.endpoint_id, replicas.note_unsent)
+        self._update_stats(send.endpoint_id, replicas.record_not_run)
         self._send_parts(query, [(shard, send.endpoint_id)], "handed-over")
         return True
 
@@ -413,7 +419,7 @@
         shard.value = reply.value
         shard.settled = True
         query.open_count -= 1
-        self.lateness = hedging.note_latency(
+        self.lateness = hedging.record_latency(
             self.lateness,
             shard.plan.service,
             now - shard.sent_ms,
@@ -431,7 +437,7 @@
         if send is None:
             return
         self._update_stats(
-            send.endpoint_id, replicas.note_failure, self.read_clock()
+            send.endpoint_id, replicas.record_failure, self.read_clock()
         )
         shard.may_have_run = True
         if not shard.settled:
@@ -447,7 +453,9 @@
         if len(shard.tried) < MAX_SENDS and now < query.due_ms:
             endpoint_id = self._choose_retry(shard)
         if endpoint_id is not None and dispatched:
-            self.retry_budget, granted = hedging.spend(self.retry_budget)
+            self.retry_budget, granted = hedging.try_withdraw(
+                self.retry_budget
+            )
             if not granted:
                 endpoint_id = None
         if endpoint_id is None:
@@ -530,7 +538,7 @@
                 numbers.append(number)
                 waited = now - send.sent_ms
                 self._update_stats(
-                    send.endpoint_id, replicas.note_cancelled, waited, now
+                    send.endpoint_id, replicas.record_cancelled, waited, now
                 )
             shard.may_have_run = shard.may_have_run or bool(shard.outstanding)
             shard.outstanding = {}
@@ -584,7 +592,9 @@
         """Avoid for a while the endpoints that kept a shard waiting."""
         now = self.read_clock()
         for send in shard.outstanding.values():
-            self._update_stats(send.endpoint_id, replicas.mark_failed, now)
+            self._update_stats(
+                send.endpoint_id, replicas.record_unavailable, now
+            )
 
     def _note_answer(self, query, results, missing):
         self.metrics.count_shards("ok", len(results))
--- a/chervilspindle/query/owner.py
+++ b/chervilspindle/query/owner.py
@@ -252,7 +252,7 @@
             if is_full_pass:
                 self.health.check_heard(owned, now)
                 self.health.check_suspect(owned, now)
-                owned.queue.forget_idle()
+                owned.queue.evict_idle()
         for owned in list(self.closing):
             self._check_running(owned, now)
             if not owned.running:
@@ -331,14 +331,14 @@
             self._refuse(work, errors.ErrorKind.NOT_OWNER)
             return
         if part.insist:
-            owned.limit = limits.end_pause(owned.limit)
+            owned.limit = limits.allow_probe(owned.limit)
         if not owned.takes_work(now):
             self._refuse(work, errors.ErrorKind.NO_ENDPOINT)
             return
         estimate = self._estimate(owned, work.job)
         remaining = work.due_ms - now
         if (
-            admission.is_hopeless(estimate, remaining)
+            admission.would_miss_deadline(estimate, remaining)
             or owned.queue.size >= MAX_QUEUED
         ):
             retry_after = admission.compute_retry_after_ms(estimate, remaining)
@@ -457,9 +457,9 @@
             work.job.customer, service_ms - owned.limit.service_ms
         )
         if result.status == "ok":
-            owned.limit = limits.note_success(owned.limit, service_ms, now)
+            owned.limit = limits.record_success(owned.limit, service_ms, now)
         elif result.status == errors.ErrorKind.OVERLOADED.value:
-            owned.limit = limits.note_shed(owned.limit, now)
+            owned.limit = limits.record_shed(owned.limit, now)
             self.metrics.count_shed()
 
     def answer(
@@ -509,17 +509,17 @@
 
     def refuse_queue(self, owned, kind):
         """Refuse all that waits at an endpoint, as never dispatched."""
-        for customer, work in owned.queue.list_lowest():
-            owned.queue.drop(customer)
+        for customer, work in owned.queue.list_least_urgent():
+            owned.queue.count_removed(customer)
             self._refuse(work, kind)
 
     def _expire_queue(self, owned, now):
         if not owned.queue.size:
             return
         needed = self._get_least_ms(owned)
-        for customer, work in owned.queue.list_lowest():
+        for customer, work in owned.queue.list_least_urgent():
             if work.due_ms - now < needed:
-                owned.queue.drop(customer)
+                owned.queue.count_removed(customer)
                 self._refuse(work, errors.ErrorKind.DEADLINE)
 
     def _get_least_ms(self, owned):
@@ -529,7 +529,7 @@
         """
         if not owned.running:
             return 0.0
-        return admission.SERVICE_MARGIN * owned.limit.service_ms
+        return admission.SERVICE_TIME_FACTOR * owned.limit.service_ms
 
     def _check_running(self, owned, now):
         for work in list(owned.running.values()):
@@ -557,7 +557,7 @@
         owned = self.owned_by_id.get(work.job.part.endpoint_id)
         work.answered = True
         if work.state == owned_module.QUEUED and owned is not None:
-            owned.queue.drop(work.job.customer)
+            owned.queue.count_removed(work.job.customer)
             self._forget(work)
             work.state = owned_module.ENDED
         elif work.state == owned_module.RUNNING:
