--- a/chervilspindle/control/desk_test.py
+++ b/chervilspindle/control/frontend_test.py
@@ -5,7 +5,7 @@
 from twisted.internet import task
 
 from chervilspindle.control import changes
-from chervilspindle.control import desk as desk_module
+from chervilspindle.control import frontend as desk_module
 from chervilspindle.control import membership
 from chervilspindle.control import raft
 from chervilspindle.control import raft_messages
--- a/chervilspindle/routing/process.py
+++ b/chervilspindle/routing/process.py
@@ -12,7 +12,7 @@
 
 from twisted.internet import defer
 
-from chervilspindle.control import desk as desk_module
+from chervilspindle.control import frontend as desk_module
 from chervilspindle.control import node as node_module
 from chervilspindle.control import storage as storage_module
 from chervilspindle.control import watch as watch_module
