--- a/chervilspindle/control/frontend.py
+++ b/chervilspindle/control/frontend.py
@@ -38,7 +38,7 @@
 NO_RELAYS = messages.RelayList(0, ())
 
 
-class Desk:
+class ControlFrontend:
     """Serves endpoints, operators and watching entries at one member.
 
     Parameters
@@ -264,13 +264,13 @@
 
 
 @functools.singledispatch
-def answer_call(message, desk: Desk):
+def answer_call(message, desk: ControlFrontend):
     """As the leader, answer one call of a member."""
     raise TypeError(f"not a call of the desk: {type(message).__name__}")
 
 
 @answer_call.register
-def _answer_announce(message: messages.AnnounceCall, desk: Desk):
+def _answer_announce(message: messages.AnnounceCall, desk: ControlFrontend):
     desk.heard_ms_by_id[message.endpoint.endpoint_id] = desk.read_clock()
     command = state_module.ReportEndpoints(
         (message.endpoint,), logs.read_wall_ms()
@@ -289,7 +289,7 @@
 
 
 @answer_call.register
-def _answer_document(message: messages.DocumentCall, desk: Desk):
+def _answer_document(message: messages.DocumentCall, desk: ControlFrontend):
     deferred = desk.node.propose(state_module.ApplyDocument(message.document))
     return deferred.addCallback(
         lambda result: messages.DocumentReply(result.held_version)
@@ -297,12 +297,12 @@
 
 
 @answer_call.register
-def _answer_read(message: messages.ReadDocumentCall, desk: Desk):
+def _answer_read(message: messages.ReadDocumentCall, desk: ControlFrontend):
     return messages.ReadDocumentReply(desk.node.tables.document)
 
 
 @answer_call.register
-def _answer_report(message: messages.MemberReport, desk: Desk):
+def _answer_report(message: messages.MemberReport, desk: ControlFrontend):
     return desk.take_report(message)
 
 
--- a/chervilspindle/control/frontend_test.py
+++ b/chervilspindle/control/frontend_test.py
@@ -74,7 +74,7 @@
     def read_clock():
         return clock.seconds() * 1000.0
 
-    desk = desk_module.Desk(node, None, timers, read_clock)
+    desk = desk_module.ControlFrontend(node, None, timers, read_clock)
     for listener in node.leader_listeners:
         listener()
     watch = watch_module.WatchServer(node, desk, timers, read_clock)
--- a/chervilspindle/routing/process.py
+++ b/chervilspindle/routing/process.py
@@ -361,7 +361,7 @@
         )
         if settings.first_start and settings.peer_address == settings.seeds[0]:
             initialise_group(self.node, storage)
-        self.desk = desk_module.Desk(
+        self.desk = desk_module.ControlFrontend(
             self.node, self.network, self.timers, read_clock
         )
         self.watch = watch_module.WatchServer(
