--- a/chervilspindle/control/frontend_test.py
+++ b/chervilspindle/control/frontend_test.py
@@ -5,7 +5,7 @@
 from twisted.internet import task
 
 from chervilspindle.control import changes
-from chervilspindle.control import frontend as desk_module
+from chervilspindle.control import frontend as frontend_module
 from chervilspindle.control import membership
 from chervilspindle.control import raft
 from chervilspindle.control import raft_messages
@@ -74,7 +74,7 @@
     def read_clock():
         return clock.seconds() * 1000.0
 
-    desk = desk_module.ControlFrontend(node, None, timers, read_clock)
+    desk = frontend_module.ControlFrontend(node, None, timers, read_clock)
     for listener in node.leader_listeners:
         listener()
     watch = watch_module.WatchServer(node, desk, timers, read_clock)
@@ -163,7 +163,7 @@
 
 def test_watchers_of_all_members_are_counted(parts):
     clock, _, desk, _ = parts
-    clock.advance(desk_module.COUNT_AFTER_MS / 1000.0 - 0.1)
+    clock.advance(frontend_module.COUNT_AFTER_MS / 1000.0 - 0.1)
     desk.take_report(messages.MemberReport("vm-2#b", 4, 40, ()))
     reply = desk.take_report(messages.MemberReport("vm-3#c", 5, 50, ()))
     assert reply.watchers == 0
@@ -175,18 +175,18 @@
 def test_entries_learn_of_relays_when_their_list_changes(parts):
     clock, _, desk, watch = parts
     far = messages.Relay("entry-9", "b", "10.0.0.9:1")
-    clock.advance(desk_module.COUNT_AFTER_MS / 1000.0)
+    clock.advance(frontend_module.COUNT_AFTER_MS / 1000.0)
     call = messages.WatchCall("entry-1", 0, 0, "a", "10.0.0.1:1")
     desk.note_watcher(call)
     desk.take_report(messages.MemberReport("vm-2#b", 1, 0, (), (far,), 0))
-    clock.advance(desk_module.REPORT_S)
+    clock.advance(frontend_module.REPORT_S)
     reply = watch._build_reply(call)
     near = messages.Relay("entry-1", "a", "10.0.0.1:1")
     assert set(reply.relays.relays) == {near, far}
     known = call._replace(known_relays=reply.relays.mark)
     assert watch._build_reply(known).relays is None
     desk.note_watcher(known._replace(relay_address=""))
-    clock.advance(desk_module.REPORT_S)
+    clock.advance(frontend_module.REPORT_S)
     assert watch._build_reply(known).relays.relays == (far,)
 
 
@@ -194,11 +194,11 @@
     clock, _, desk, watch = parts
     far = messages.Relay("entry-9", "b", "10.0.0.9:1")
     desk.take_report(messages.MemberReport("vm-2#b", 1, 9, (), (far,), 0))
-    clock.advance(desk_module.RELAYS_AFTER_MS / 1000.0 - 0.1)
+    clock.advance(frontend_module.RELAYS_AFTER_MS / 1000.0 - 0.1)
     assert (
         watch._build_reply(messages.WatchCall("entry-1", 0, 0)).relays is None
     )
-    clock.advance(0.1 + desk_module.REPORT_S)
+    clock.advance(0.1 + frontend_module.REPORT_S)
     reply = watch._build_reply(messages.WatchCall("entry-1", 0, 0))
     assert reply.relays.relays == (far,)
     assert (reply.watchers, reply.requests) == (0, 0)
@@ -208,9 +208,9 @@
     relays = [
         messages.Relay(f"entry-{i}", "ab"[i % 2], "x") for i in range(3900)
     ]
-    found = desk_module.select_relays(relays)
-    assert len(found) == 2 * desk_module.RELAYS_PER_ZONE
-    fewer = desk_module.select_relays([r for r in relays if r != found[0]])
+    found = frontend_module.select_relays(relays)
+    assert len(found) == 2 * frontend_module.RELAYS_PER_ZONE
+    fewer = frontend_module.select_relays([r for r in relays if r != found[0]])
     assert len(set(fewer) - set(found)) == 1
 
 
--- a/chervilspindle/routing/process.py
+++ b/chervilspindle/routing/process.py
@@ -12,7 +12,7 @@
 
 from twisted.internet import defer
 
-from chervilspindle.control import frontend as desk_module
+from chervilspindle.control import frontend as frontend_module
 from chervilspindle.control import node as node_module
 from chervilspindle.control import storage as storage_module
 from chervilspindle.control import watch as watch_module
@@ -361,7 +361,7 @@
         )
         if settings.first_start and settings.peer_address == settings.seeds[0]:
             initialise_group(self.node, storage)
-        self.desk = desk_module.ControlFrontend(
+        self.desk = frontend_module.ControlFrontend(
             self.node, self.network, self.timers, read_clock
         )
         self.watch = watch_module.WatchServer(
