--- a/chervilspindle/control/frontend.py
+++ b/chervilspindle/control/frontend.py
@@ -264,18 +264,22 @@
 
 
 @functools.singledispatch
-def answer_call(message, desk: ControlFrontend):
+def answer_call(message, frontend: ControlFrontend):
     """As the leader, answer one call of a member."""
     raise TypeError(f"not a call of the desk: {type(message).__name__}")
 
 
 @answer_call.register
-def _answer_announce(message: messages.AnnounceCall, desk: ControlFrontend):
-    desk.heard_ms_by_id[message.endpoint.endpoint_id] = desk.read_clock()
+def _answer_announce(
+    message: messages.AnnounceCall, frontend: ControlFrontend
+):
+    frontend.heard_ms_by_id[message.endpoint.endpoint_id] = (
+        frontend.read_clock()
+    )
     command = state_module.ReportEndpoints(
         (message.endpoint,), logs.read_wall_ms()
     )
-    deferred = desk.node.propose(command)
+    deferred = frontend.node.propose(command)
     endpoint = message.endpoint
     logs.log_decision(
         "endpoint-announced",
@@ -289,21 +293,27 @@
 
 
 @answer_call.register
-def _answer_document(message: messages.DocumentCall, desk: ControlFrontend):
-    deferred = desk.node.propose(state_module.ApplyDocument(message.document))
+def _answer_document(
+    message: messages.DocumentCall, frontend: ControlFrontend
+):
+    deferred = frontend.node.propose(
+        state_module.ApplyDocument(message.document)
+    )
     return deferred.addCallback(
         lambda result: messages.DocumentReply(result.held_version)
     )
 
 
 @answer_call.register
-def _answer_read(message: messages.ReadDocumentCall, desk: ControlFrontend):
-    return messages.ReadDocumentReply(desk.node.tables.document)
+def _answer_read(
+    message: messages.ReadDocumentCall, frontend: ControlFrontend
+):
+    return messages.ReadDocumentReply(frontend.node.tables.document)
 
 
 @answer_call.register
-def _answer_report(message: messages.MemberReport, desk: ControlFrontend):
-    return desk.take_report(message)
+def _answer_report(message: messages.MemberReport, frontend: ControlFrontend):
+    return frontend.take_report(message)
 
 
 def _log_unless_problem(failure):
--- a/chervilspindle/control/frontend_test.py
+++ b/chervilspindle/control/frontend_test.py
@@ -74,11 +74,11 @@
     def read_clock():
         return clock.seconds() * 1000.0
 
-    desk = frontend_module.ControlFrontend(node, None, timers, read_clock)
+    frontend = frontend_module.ControlFrontend(node, None, timers, read_clock)
     for listener in node.leader_listeners:
         listener()
-    watch = watch_module.WatchServer(node, desk, timers, read_clock)
-    return clock, node, desk, watch
+    watch = watch_module.WatchServer(node, frontend, timers, read_clock)
+    return clock, node, frontend, watch
 
 
 def build_endpoint(sequence=1, **fields):
@@ -89,47 +89,47 @@
 
 
 def test_what_tells_nothing_new_is_not_committed_again(parts):
-    _, node, desk, _ = parts
-    desk.announce(build_endpoint(1))
-    desk.announce(build_endpoint(2))
+    _, node, frontend, _ = parts
+    frontend.announce(build_endpoint(1))
+    frontend.announce(build_endpoint(2))
     assert len(node.proposed) == 1
 
 
 def test_a_late_announcement_does_not_undo_draining(parts):
-    _, node, desk, _ = parts
-    desk.announce(build_endpoint(1))
-    desk.announce(build_endpoint(5, state="draining"))
-    desk.announce(build_endpoint(4))
+    _, node, frontend, _ = parts
+    frontend.announce(build_endpoint(1))
+    frontend.announce(build_endpoint(5, state="draining"))
+    frontend.announce(build_endpoint(4))
     assert node.tables.endpoint_by_id["i-1"].state == "draining"
 
 
 def test_nothing_revives_an_endpoint_that_left_but_a_new_start(parts):
-    _, node, desk, _ = parts
-    desk.announce(build_endpoint(1))
-    desk.withdraw("i-1")
-    desk.announce(build_endpoint(9))
+    _, node, frontend, _ = parts
+    frontend.announce(build_endpoint(1))
+    frontend.withdraw("i-1")
+    frontend.announce(build_endpoint(9))
     assert node.tables.endpoint_by_id["i-1"].state == "gone"
-    desk.announce(build_endpoint(1, incarnation=6))
+    frontend.announce(build_endpoint(1, incarnation=6))
     assert node.tables.endpoint_by_id["i-1"].state == "ready"
 
 
 def test_news_without_a_leader_are_not_acknowledged(parts):
-    _, node, desk, _ = parts
+    _, node, frontend, _ = parts
     node.leads = False
     failures = []
-    desk.announce(build_endpoint()).addErrback(failures.append)
-    desk.read_document().addErrback(failures.append)
+    frontend.announce(build_endpoint()).addErrback(failures.append)
+    frontend.read_document().addErrback(failures.append)
     assert [f.value.problem.kind for f in failures] == [
         errors.ErrorKind.NO_LEADER
     ] * 2
 
 
 def test_the_highest_document_stays_and_older_ones_are_acknowledged(parts):
-    _, node, desk, _ = parts
+    _, node, frontend, _ = parts
     replies = []
     for version, data in ((4, b"four"), (2, b"two"), (4, b"other")):
         stored = rows.StoredDocument(version, data)
-        desk.apply_document(stored).addCallback(replies.append)
+        frontend.apply_document(stored).addCallback(replies.append)
     assert [r.held_version for r in replies] == [4, 4, 4]
     assert node.tables.document == rows.StoredDocument(4, b"four")
     image = state_module.encode_image(node.tables)
@@ -137,63 +137,63 @@
 
 
 def test_silent_endpoints_are_lost_and_come_back_when_heard(parts):
-    clock, node, desk, _ = parts
+    clock, node, frontend, _ = parts
     for number in range(4):
-        desk.announce(build_endpoint(endpoint_id=f"i-{number}"))
+        frontend.announce(build_endpoint(endpoint_id=f"i-{number}"))
     for beat in range(2, 32):
         clock.advance(0.5)
         for number in range(1, 4):
             row = build_endpoint(beat, endpoint_id=f"i-{number}")
-            desk.announce(row)
+            frontend.announce(row)
     states = {
         e.endpoint_id: e.state for e in node.tables.endpoint_by_id.values()
     }
     assert states["i-0"] == "lost" and states["i-1"] == "ready"
-    desk.announce(build_endpoint(40, endpoint_id="i-0"))
+    frontend.announce(build_endpoint(40, endpoint_id="i-0"))
     assert node.tables.endpoint_by_id["i-0"].state == "ready"
 
 
 def test_a_leader_that_hears_nobody_drops_nobody(parts):
-    clock, node, desk, _ = parts
+    clock, node, frontend, _ = parts
     for number in range(4):
-        desk.announce(build_endpoint(endpoint_id=f"i-{number}"))
+        frontend.announce(build_endpoint(endpoint_id=f"i-{number}"))
     clock.pump([0.5] * 60)
     assert {e.state for e in node.tables.endpoint_by_id.values()} == {"ready"}
 
 
 def test_watchers_of_all_members_are_counted(parts):
-    clock, _, desk, _ = parts
+    clock, _, frontend, _ = parts
     clock.advance(frontend_module.COUNT_AFTER_MS / 1000.0 - 0.1)
-    desk.take_report(messages.MemberReport("vm-2#b", 4, 40, ()))
-    reply = desk.take_report(messages.MemberReport("vm-3#c", 5, 50, ()))
+    frontend.take_report(messages.MemberReport("vm-2#b", 4, 40, ()))
+    reply = frontend.take_report(messages.MemberReport("vm-3#c", 5, 50, ()))
     assert reply.watchers == 0
     clock.advance(0.2)
-    reply = desk.take_report(messages.MemberReport("vm-3#c", 6, 60, ()))
+    reply = frontend.take_report(messages.MemberReport("vm-3#c", 6, 60, ()))
     assert (reply.watchers, reply.requests) == (10, 100)
 
 
 def test_entries_learn_of_relays_when_their_list_changes(parts):
-    clock, _, desk, watch = parts
+    clock, _, frontend, watch = parts
     far = messages.Relay("entry-9", "b", "10.0.0.9:1")
     clock.advance(frontend_module.COUNT_AFTER_MS / 1000.0)
     call = messages.WatchCall("entry-1", 0, 0, "a", "10.0.0.1:1")
-    desk.note_watcher(call)
-    desk.take_report(messages.MemberReport("vm-2#b", 1, 0, (), (far,), 0))
+    frontend.note_watcher(call)
+    frontend.take_report(messages.MemberReport("vm-2#b", 1, 0, (), (far,), 0))
     clock.advance(frontend_module.REPORT_S)
     reply = watch._build_reply(call)
     near = messages.Relay("entry-1", "a", "10.0.0.1:1")
     assert set(reply.relays.relays) == {near, far}
     known = call._replace(known_relays=reply.relays.mark)
     assert watch._build_reply(known).relays is None
-    desk.note_watcher(known._replace(relay_address=""))
+    frontend.note_watcher(known._replace(relay_address=""))
     clock.advance(frontend_module.REPORT_S)
     assert watch._build_reply(known).relays.relays == (far,)
 
 
 def test_relays_are_known_before_all_is_counted(parts):
-    clock, _, desk, watch = parts
+    clock, _, frontend, watch = parts
     far = messages.Relay("entry-9", "b", "10.0.0.9:1")
-    desk.take_report(messages.MemberReport("vm-2#b", 1, 9, (), (far,), 0))
+    frontend.take_report(messages.MemberReport("vm-2#b", 1, 9, (), (far,), 0))
     clock.advance(frontend_module.RELAYS_AFTER_MS / 1000.0 - 0.1)
     assert (
         watch._build_reply(messages.WatchCall("entry-1", 0, 0)).relays is None
@@ -215,12 +215,12 @@
 
 
 def test_a_watch_is_answered_by_a_change_or_after_a_while(parts):
-    clock, _, desk, watch = parts
+    clock, _, frontend, watch = parts
     replies = []
     watch.watch(messages.WatchCall("entry-1", 0, 0)).addCallback(
         replies.append
     )
-    desk.announce(build_endpoint())
+    frontend.announce(build_endpoint())
     clock.advance(watch_module.GATHER_S)
     delta = messages.decode_delta(replies[0].delta)
     assert [e.endpoint_id for e in delta.endpoints] == ["i-1"]
@@ -231,7 +231,7 @@
 
 
 def test_a_storm_of_changes_reaches_an_entry_as_few(parts):
-    clock, node, desk, watch = parts
+    clock, node, frontend, watch = parts
     replies = []
 
     def ask(known):
@@ -244,11 +244,11 @@
         replies.append(messages.decode_delta(reply.delta))
         ask(replies[-1].version)
 
-    desk.announce(build_endpoint())
+    frontend.announce(build_endpoint())
     ask(0)
     for version in range(1, 26):
         stored = rows.StoredDocument(version, b"route " * 10000)
-        desk.apply_document(stored)
+        frontend.apply_document(stored)
         clock.pump([0.02] * 3)
     clock.pump([0.05] * 8)
     assert replies[-1].version == node.tables.version
--- a/chervilspindle/control/watch.py
+++ b/chervilspindle/control/watch.py
@@ -39,9 +39,9 @@
         Monotonic milliseconds.
     """
 
-    def __init__(self, node, desk, timers, read_clock):
+    def __init__(self, node, frontend, timers, read_clock):
         self.node = node
-        self.desk = desk
+        self.frontend = frontend
         self.timers = timers
         self.read_clock = read_clock
         self.waiting = []
@@ -52,7 +52,7 @@
 
     def watch(self, call: messages.WatchCall):
         """Answer now if something is new, else when it is."""
-        self.desk.note_watcher(call)
+        self.frontend.note_watcher(call)
         now = self.read_clock()
         if self._has_news(call, now):
             return self._build_reply(call)
@@ -89,12 +89,12 @@
     def _build_reply(self, call):
         node = self.node
         self.answered_ms_by_vm[call.vm_id] = self.read_clock()
-        known = self.desk.relay_list
+        known = self.frontend.relay_list
         is_news = known.mark and known.mark != call.known_relays
         return messages.WatchReply(
             self._read_age_ms(),
-            self.desk.totals.watchers,
-            self.desk.totals.requests,
+            self.frontend.totals.watchers,
+            self.frontend.totals.requests,
             tuple(sorted(m.address for m in node.raft.members)),
             node.feed.get_delta(node.tables, call.known_version),
             known if is_news else None,
--- a/chervilspindle/platform/control_api.py
+++ b/chervilspindle/platform/control_api.py
@@ -79,8 +79,8 @@
     desk : desk.Desk
     """
 
-    def __init__(self, desk):
-        self.desk = desk
+    def __init__(self, frontend):
+        self.frontend = frontend
 
     def handle(self, exchange):
         """Answer one call."""
@@ -111,7 +111,7 @@
             _refuse(exchange, "document", text)
             return
         stored = rows.StoredDocument(document.version, data)
-        deferred = self.desk.apply_document(stored)
+        deferred = self.frontend.apply_document(stored)
         deferred.addCallback(self._accept_document, exchange, stored)
         deferred.addErrback(_fail, exchange, "document")
 
@@ -124,7 +124,7 @@
         exchange.respond(200, JSON_HEADERS, b"{}")
 
     def _get_document(self, exchange):
-        deferred = self.desk.read_document()
+        deferred = self.frontend.read_document()
         deferred.addCallback(_send_document, exchange)
         deferred.addErrback(_fail, exchange, "read")
 
@@ -135,7 +135,7 @@
         except ValueError as error:
             _refuse(exchange, "announcement", str(error))
             return
-        deferred = self.desk.announce(endpoint)
+        deferred = self.frontend.announce(endpoint)
         deferred.addCallback(_acknowledge, exchange)
         deferred.addErrback(_fail, exchange, "announcement")
 
@@ -145,14 +145,14 @@
         except ValueError as error:
             _refuse(exchange, "withdrawal", str(error))
             return
-        deferred = self.desk.withdraw(endpoint_id)
+        deferred = self.frontend.withdraw(endpoint_id)
         deferred.addCallback(_acknowledge, exchange)
         deferred.addErrback(_fail, exchange, "withdrawal")
 
 
-def build_handler(desk):
+def build_handler(frontend):
     """Build the handler of a control member's address."""
-    return functools.partial(ControlApi.handle, ControlApi(desk))
+    return functools.partial(ControlApi.handle, ControlApi(frontend))
 
 
 def _read_id(exchange) -> str:
--- a/chervilspindle/platform/platform_test.py
+++ b/chervilspindle/platform/platform_test.py
@@ -185,59 +185,59 @@
         self.answer = (status, body)
 
 
-def call(desk, method, target, value=None):
+def call(frontend, method, target, value=None):
     body = encode(value) if value is not None else b""
     exchange = FakeExchange(method, target, body)
-    control_api.build_handler(desk)(exchange)
+    control_api.build_handler(frontend)(exchange)
     return exchange.answer
 
 
 def test_a_configuration_is_acknowledged_once_it_is_committed():
-    desk = FakeDesk()
-    desk.result = defer.Deferred()
+    frontend = FakeDesk()
+    frontend.result = defer.Deferred()
     exchange = FakeExchange(b"PUT", b"/api/config", encode(CONFIGURATION))
-    control_api.build_handler(desk)(exchange)
+    control_api.build_handler(frontend)(exchange)
     assert exchange.answer is None
-    desk.result.callback(messages.DocumentReply(7))
+    frontend.result.callback(messages.DocumentReply(7))
     assert exchange.answer[0] == 200
-    assert desk.calls == [rows.StoredDocument(7, encode(CONFIGURATION))]
+    assert frontend.calls == [rows.StoredDocument(7, encode(CONFIGURATION))]
 
 
 def test_an_invalid_configuration_is_refused_and_changes_nothing():
-    desk = FakeDesk()
+    frontend = FakeDesk()
     route = {**ROUTE, "fanout-services": ["a", "unheard-of"]}
     bad = {**CONFIGURATION, "routes": [route]}
-    status, body = call(desk, b"PUT", b"/api/config", bad)
+    status, body = call(frontend, b"PUT", b"/api/config", bad)
     assert status == 400 and b"unheard-of" in body
-    assert call(desk, b"PUT", b"/api/config", [1])[0] == 400
-    assert desk.calls == []
+    assert call(frontend, b"PUT", b"/api/config", [1])[0] == 400
+    assert frontend.calls == []
 
 
 def test_a_read_gives_back_what_was_sent_or_is_not_sure():
-    desk = FakeDesk()
+    frontend = FakeDesk()
     data = encode(CONFIGURATION)
-    desk.result = defer.succeed(rows.StoredDocument(7, data))
-    assert call(desk, b"GET", b"/api/config") == (200, data)
+    frontend.result = defer.succeed(rows.StoredDocument(7, data))
+    assert call(frontend, b"GET", b"/api/config") == (200, data)
     failed = errors.build_error(errors.ErrorKind.NO_LEADER, "no leader")
-    desk.result = defer.fail(failed)
-    assert call(desk, b"GET", b"/api/config")[0] == 503
+    frontend.result = defer.fail(failed)
+    assert call(frontend, b"GET", b"/api/config")[0] == 503
 
 
 def test_endpoints_come_and_go():
-    desk = FakeDesk()
-    assert call(desk, b"PUT", b"/api/instances/i-1", BEAT)[0] == 200
-    assert call(desk, b"DELETE", b"/api/instances/i-1")[0] == 200
-    assert desk.calls[0].endpoint_id == desk.calls[1] == "i-1"
+    frontend = FakeDesk()
+    assert call(frontend, b"PUT", b"/api/instances/i-1", BEAT)[0] == 200
+    assert call(frontend, b"DELETE", b"/api/instances/i-1")[0] == 200
+    assert frontend.calls[0].endpoint_id == frontend.calls[1] == "i-1"
     forged = {**BEAT, "sequence": None}
-    assert call(desk, b"PUT", b"/api/instances/i-1", forged)[0] == 400
-    assert len(desk.calls) == 2
+    assert call(frontend, b"PUT", b"/api/instances/i-1", forged)[0] == 400
+    assert len(frontend.calls) == 2
 
 
 def test_other_calls_are_refused():
-    desk = FakeDesk()
-    assert call(desk, b"GET", b"/other")[0] == 404
-    assert call(desk, b"POST", b"/api/config")[0] == 405
-    assert call(desk, b"PUT", b"/api/instances/", BEAT)[0] == 400
+    frontend = FakeDesk()
+    assert call(frontend, b"GET", b"/other")[0] == 404
+    assert call(frontend, b"POST", b"/api/config")[0] == 405
+    assert call(frontend, b"PUT", b"/api/instances/", BEAT)[0] == 400
 
 
 def test_files_are_recognised_and_checked():
--- a/chervilspindle/routing/process.py
+++ b/chervilspindle/routing/process.py
@@ -361,11 +361,11 @@
         )
         if settings.first_start and settings.peer_address == settings.seeds[0]:
             initialise_group(self.node, storage)
-        self.desk = frontend_module.ControlFrontend(
+        self.frontend = frontend_module.ControlFrontend(
             self.node, self.network, self.timers, read_clock
         )
         self.watch = watch_module.WatchServer(
-            self.node, self.desk, self.timers, read_clock
+            self.node, self.frontend, self.timers, read_clock
         )
 
     async def start(self):
@@ -376,7 +376,7 @@
         await self.listen(
             "control",
             self.settings.control_address,
-            self.adapter.build_control_handler(self.desk),
+            self.adapter.build_control_handler(self.frontend),
             lambda: CONTROL_LIMITS,
         )
         await self.listen_metrics()
@@ -404,7 +404,7 @@
             return None
         if isinstance(message, messages.WatchCall):
             return self.watch.watch(message)
-        return self.desk.answer(message)
+        return self.frontend.answer(message)
 
     def _send_replica(self, address, data):
         message = messages.Replicate(data, self.settings.peer_address)
