--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -311,7 +311,7 @@
             writer = storage.begin_snapshot(
                 raft_messages.SnapshotMark(1, 1, ())
             )
-            source = state_module.split_image(state)
+            source = state_module.encode_snapshot_parts(state)
             longest = 0.0
             while True:
                 started = time.perf_counter()
--- a/chervilspindle/control/node.py
+++ b/chervilspindle/control/node.py
@@ -454,7 +454,7 @@
         except storage_module.StorageError:
             self._fail()
             return
-        source = state_module.split_image(self.tables)
+        source = state_module.encode_snapshot_parts(self.tables)
         self.building = SnapshotBuild(writer, source, [])
         self._plan_slice()
 
--- a/chervilspindle/control/state.py
+++ b/chervilspindle/control/state.py
@@ -240,7 +240,7 @@
     )
 
 
-def split_image(state: ControlState):
+def encode_snapshot_parts(state: ControlState):
     """Yield all tables as parts of a snapshot, a limited number of rows each.
 
     The tables are immutable, so that the parts may be taken one by one while
@@ -280,7 +280,7 @@
 
 def encode_image(state: ControlState) -> bytes:
     """Encode all tables for a snapshot."""
-    return join_parts(split_image(state))
+    return join_parts(encode_snapshot_parts(state))
 
 
 def decode_image(data: bytes) -> ControlState:
