--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -295,7 +295,7 @@
     for vms, endpoints in sizes:
         state = build_tables(vms, endpoints)
         yield endpoints, measure_us(
-            lambda: state_module.encode_image(state), 3
+            lambda: state_module.encode_snapshot(state), 3
         )
 
 
--- a/chervilspindle/control/frontend_test.py
+++ b/chervilspindle/control/frontend_test.py
@@ -132,7 +132,7 @@
         frontend.apply_document(stored).addCallback(replies.append)
     assert [r.held_version for r in replies] == [4, 4, 4]
     assert node.tables.document == rows.StoredDocument(4, b"four")
-    image = state_module.encode_image(node.tables)
+    image = state_module.encode_snapshot(node.tables)
     assert state_module.decode_image(image).document.data == b"four"
 
 
--- a/chervilspindle/control/state.py
+++ b/chervilspindle/control/state.py
@@ -278,7 +278,7 @@
     return _PARTS.decode(data) if data else ()
 
 
-def encode_image(state: ControlState) -> bytes:
+def encode_snapshot(state: ControlState) -> bytes:
     """Encode all tables for a snapshot."""
     return join_parts(encode_snapshot_parts(state))
 
--- a/chervilspindle/control/state_test.py
+++ b/chervilspindle/control/state_test.py
@@ -151,7 +151,9 @@
         apply_lists("a", 0),
         state_module.ClaimCommand(build_claim("one")),
     )
-    assert state_module.decode_image(state_module.encode_image(state)) == state
+    assert (
+        state_module.decode_image(state_module.encode_snapshot(state)) == state
+    )
 
 
 def test_replicas_have_owners_on_different_vms_and_zones():
