--- a/chervilspindle/control/frontend_test.py
+++ b/chervilspindle/control/frontend_test.py
@@ -133,7 +133,7 @@
     assert [r.held_version for r in replies] == [4, 4, 4]
     assert node.tables.document == rows.StoredDocument(4, b"four")
     image = state_module.encode_snapshot(node.tables)
-    assert state_module.decode_image(image).document.data == b"four"
+    assert state_module.decode_snapshot(image).document.data == b"four"
 
 
 def test_silent_endpoints_are_lost_and_come_back_when_heard(parts):
--- a/chervilspindle/control/state.py
+++ b/chervilspindle/control/state.py
@@ -283,7 +283,7 @@
     return join_parts(encode_snapshot_parts(state))
 
 
-def decode_image(data: bytes) -> ControlState:
+def decode_snapshot(data: bytes) -> ControlState:
     """Rebuild the tables from an image; empty bytes give empty tables."""
     return decode_parts(split_parts(data))
 
--- a/chervilspindle/control/state_test.py
+++ b/chervilspindle/control/state_test.py
@@ -152,7 +152,8 @@
         state_module.ClaimCommand(build_claim("one")),
     )
     assert (
-        state_module.decode_image(state_module.encode_snapshot(state)) == state
+        state_module.decode_snapshot(state_module.encode_snapshot(state))
+        == state
     )
 
 
