--- a/chervilspindle/control/node.py
+++ b/chervilspindle/control/node.py
@@ -341,7 +341,7 @@
         if isinstance(message, raft_messages.Install):
             message = message._replace(
                 mark=self.snapshot.mark,
-                data=state_module.join_parts(self.snapshot.parts),
+                data=state_module.join_snapshot_parts(self.snapshot.parts),
             )
         data = raft_messages.encode_envelope(
             self.identity.group, self.identity.member_id, message
--- a/chervilspindle/control/state.py
+++ b/chervilspindle/control/state.py
@@ -268,7 +268,7 @@
             yield _encode_part(table, part)
 
 
-def join_parts(parts) -> bytes:
+def join_snapshot_parts(parts) -> bytes:
     """Join the parts of a snapshot to one image."""
     return _ENCODER.encode(tuple(parts))
 
@@ -280,7 +280,7 @@
 
 def encode_snapshot(state: ControlState) -> bytes:
     """Encode all tables for a snapshot."""
-    return join_parts(encode_snapshot_parts(state))
+    return join_snapshot_parts(encode_snapshot_parts(state))
 
 
 def decode_snapshot(data: bytes) -> ControlState:
