--- a/chervilspindle/control/node.py
+++ b/chervilspindle/control/node.py
@@ -377,7 +377,7 @@
             state = raft.adopt_snapshot(
                 self.raft, mark, now, self.random.random()
             )
-            parts = state_module.split_parts(message.data)
+            parts = state_module.split_snapshot_parts(message.data)
             snapshot = storage_module.SnapshotFile(mark, parts)
             self._abandon_snapshot()
             try:
--- a/chervilspindle/control/state.py
+++ b/chervilspindle/control/state.py
@@ -273,7 +273,7 @@
     return _ENCODER.encode(tuple(parts))
 
 
-def split_parts(data: bytes) -> tuple[bytes, ...]:
+def split_snapshot_parts(data: bytes) -> tuple[bytes, ...]:
     """Return the parts of an image."""
     return _PARTS.decode(data) if data else ()
 
@@ -285,7 +285,7 @@
 
 def decode_snapshot(data: bytes) -> ControlState:
     """Rebuild the tables from an image; empty bytes give empty tables."""
-    return decode_parts(split_parts(data))
+    return decode_parts(split_snapshot_parts(data))
 
 
 def decode_parts(parts) -> ControlState:
