--- a/chervilspindle/control/node.py
+++ b/chervilspindle/control/node.py
@@ -359,7 +359,7 @@
 
     def _load_tables(self, snapshot):
         self.snapshot = snapshot
-        self.tables = state_module.decode_parts(snapshot.parts)
+        self.tables = state_module.decode_snapshot_parts(snapshot.parts)
         self.applied_index = snapshot.mark.index
         self.feed.reset(self.tables.version)
         self.placement = placement.PlacementIndex(self.tables)
--- a/chervilspindle/control/state.py
+++ b/chervilspindle/control/state.py
@@ -285,10 +285,10 @@
 
 def decode_snapshot(data: bytes) -> ControlState:
     """Rebuild the tables from an image; empty bytes give empty tables."""
-    return decode_parts(split_snapshot_parts(data))
+    return decode_snapshot_parts(split_snapshot_parts(data))
 
 
-def decode_parts(parts) -> ControlState:
+def decode_snapshot_parts(parts) -> ControlState:
     """Rebuild the tables from parts of a snapshot; none give empty tables."""
     if not parts:
         return EMPTY_STATE
