--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -162,7 +162,7 @@
     for vms, endpoints in sizes:
         state = build_tables(vms, endpoints)
         directory = directory_module.Directory()
-        directory.apply_delta(changes.build_full(state))
+        directory.apply_delta(changes.build_full_delta(state))
         directory.plan_query(("service-00000",))
         row = next(iter(state.endpoint_by_id.values()))
         delta = messages.Delta(
@@ -180,7 +180,7 @@
     """Bytes of all tables, as a new entry gets them."""
     for vms, endpoints in sizes:
         state = build_tables(vms, endpoints)
-        delta = changes.build_full(state)
+        delta = changes.build_full_delta(state)
         yield endpoints, len(msgspec.msgpack.encode(delta))
 
 
@@ -252,7 +252,7 @@
     """Bytes of the directory of one entry, by resident set."""
     for vms, endpoints in sizes:
         state = build_tables(vms, endpoints)
-        data = msgspec.msgpack.encode(changes.build_full(state))
+        data = msgspec.msgpack.encode(changes.build_full_delta(state))
         del state
         before = _read_resident()
         held = []
--- a/chervilspindle/control/changes.py
+++ b/chervilspindle/control/changes.py
@@ -57,7 +57,7 @@
 
     def _build(self, state, known_version: int) -> messages.Delta:
         if known_version == 0:
-            return build_full(state)
+            return build_full_delta(state)
         keys_by_kind = {kind: set() for kind in KINDS}
         for version in reversed(self.changes_by_version):
             if version <= known_version:
@@ -67,7 +67,7 @@
         return build_partial(state, keys_by_kind)
 
 
-def build_full(state) -> messages.Delta:
+def build_full_delta(state) -> messages.Delta:
     """Build a delta that replaces all that an entry holds."""
     return messages.Delta(
         version=state.version,
