--- a/chervilspindle/control/frontend.py
+++ b/chervilspindle/control/frontend.py
@@ -300,7 +300,7 @@
         state_module.ApplyDocument(message.document)
     )
     return deferred.addCallback(
-        lambda result: messages.DocumentReply(result.held_version)
+        lambda result: messages.DocumentReply(result.current_version)
     )
 
 
--- a/chervilspindle/control/state.py
+++ b/chervilspindle/control/state.py
@@ -1,7 +1,8 @@
-"""The replicated state: a pure function from log entries to tables.
+"""Replicated state machine of the control group.
 
-Every member applies the same commands in the same order, so nothing here
-reads a clock, a file or a random number; times come with the commands.
+Every member applies the same commands in the same order, so applying a
+command must be deterministic: nothing here reads a clock, a file or a random
+number. Commands carry the times that they need.
 """
 
 import functools
@@ -13,16 +14,16 @@
 
 from chervilspindle.core import rows
 
-ROWS_PER_PART = 500
-CHANGE_IDS_KEPT = 5000
-CLAIM_KEPT_MS = 24 * 3600 * 1000
-LOST_ENDPOINT_KEPT_MS = 3600 * 1000
+MAX_ROWS_PER_PART = 500
+MAX_CHANGE_RESULTS = 5000
+CLAIM_RETENTION_MS = 24 * 3600 * 1000
+LOST_ENDPOINT_RETENTION_MS = 3600 * 1000
 
 
 class ApplyLists(typing.NamedTuple):
-    """Replaces the two lists if the revision is still `if_revision`.
+    """Replaces customers and plans if the revision equals `if_revision`.
 
-    An `if_revision` of -1 replaces whatever is there.
+    An `if_revision` of -1 replaces them unconditionally.
     """
 
     change_id: str
@@ -39,27 +40,30 @@
 
 
 class RemoveVms(typing.NamedTuple):
-    """Ends sessions whose lease ran out or that left.
+    """Ends sessions that left or whose lease expired.
 
-    Many at once, since a lost zone ends hundreds and each command looks
-    through all ownership rows.
+    One command ends many sessions, because the loss of an availability zone
+    ends hundreds of them and each command scans all ownership rows.
     """
 
     sessions: tuple[str, ...]
 
 
 class ReportEndpoints(typing.NamedTuple):
-    """Adds or updates endpoints from their announcements."""
+    """Adds or updates endpoints from their announcements.
+
+    `now_ms` is the wall time that lost endpoints are recorded with.
+    """
 
     endpoints: tuple[rows.Endpoint, ...]
     now_ms: int
 
 
 class Assignment(typing.NamedTuple):
-    """Gives an endpoint to a session; a live owner hands it over first.
+    """Assigns an endpoint to a session; a live owner hands it over first.
 
-    It takes effect only if the endpoint's epoch is still `epoch` and no
-    handover is under way.
+    Takes effect only if the endpoint's epoch still equals `epoch` and no
+    handover is in progress.
     """
 
     endpoint_id: str
@@ -68,20 +72,20 @@
 
 
 class Assign(typing.NamedTuple):
-    """Changes ownership of endpoints."""
+    """Changes the owners of endpoints."""
 
     assignments: tuple[Assignment, ...]
 
 
 class Handover(typing.NamedTuple):
-    """Names the grant under which a session has taken over an endpoint."""
+    """Identifies a handover by its endpoint and the new owner's epoch."""
 
     endpoint_id: str
     epoch: int
 
 
 class EndHandovers(typing.NamedTuple):
-    """Records that new owners have taken over from the sessions before."""
+    """Records that new owners have taken over from the previous owners."""
 
     handovers: tuple[Handover, ...]
 
@@ -93,10 +97,10 @@
 
 
 class ResolveClaim(typing.NamedTuple):
-    """Records the outcome of an attempt, or frees its claim.
+    """Records the outcome of an attempt, or releases its claim.
 
-    `outcome` is ``done``, ``failed`` or ``free``; the last only if the
-    request was never dispatched.
+    `outcome` is ``done``, ``failed`` or ``free``; ``free`` releases the claim
+    and is used only if the request was never dispatched.
     """
 
     claim_id: str
@@ -106,7 +110,7 @@
 
 
 class Expire(typing.NamedTuple):
-    """Drops claims and lost endpoints that are too old to matter."""
+    """Removes claims and lost endpoints whose retention period is over."""
 
     now_ms: int
 
@@ -118,9 +122,9 @@
 
 
 class DocumentResult(typing.NamedTuple):
-    """The version that is held after a document was applied."""
+    """Version of the stored document after a document was applied."""
 
-    held_version: int
+    current_version: int
 
 
 class Batch(typing.NamedTuple):
@@ -130,7 +134,7 @@
 
 
 class ChangeResult(typing.NamedTuple):
-    """The first answer to a change, given again to each resend."""
+    """Result of a change, stored so that a resend gets the same answer."""
 
     digest: str
     accepted: bool
@@ -139,16 +143,16 @@
 
 
 class ClaimResult(typing.NamedTuple):
-    """Answer to a claim: granted, or what is known of the earlier one."""
+    """Result of a claim: the granted claim, or the existing one."""
 
     granted: bool
     claim: rows.Claim
 
 
 class Change(typing.NamedTuple):
-    """Names a row that a command touched, for the deltas to entries."""
+    """Identifies a row that a command changed, for deltas to entries."""
 
-    kind: str  # one of changes.KINDS
+    kind: str  # one of changes.CHANGE_KINDS
     key: str
 
 
@@ -175,15 +179,15 @@
     changes: tuple[Change, ...] = ()
 
 
-class ImageHead(typing.NamedTuple):
-    """First part of an image of the tables."""
+class SnapshotHeader(typing.NamedTuple):
+    """First part of a snapshot of the tables."""
 
     version: int
     revision: int
 
 
-class ImagePart(typing.NamedTuple):
-    """Some rows of one table, as a snapshot stores them."""
+class SnapshotPart(typing.NamedTuple):
+    """A batch of rows of one table in a snapshot."""
 
     table: str
     rows: msgspec.Raw
@@ -241,18 +245,19 @@
 
 
 def encode_snapshot_parts(state: ControlState):
-    """Yield all tables as parts of a snapshot, a limited number of rows each.
+    """Yield the encoded parts of a snapshot of all tables.
 
-    The tables are immutable, so that the parts may be taken one by one while
-    newer tables are already in use.
+    Each part has at most `MAX_ROWS_PER_PART` rows. The tables are immutable,
+    so the iterator may be consumed step by step while later commands are
+    applied to newer tables.
 
     Returns
     -------
     iterator of bytes
     """
-    head = ImageHead(state.version, state.lists.revision)
-    yield _encode_part("head", head)
-    for table, found in (
+    header = SnapshotHeader(state.version, state.lists.revision)
+    yield _encode_part("head", header)
+    for table, table_rows in (
         ("customers", state.lists.customers_by_name.values()),
         ("plans", state.lists.plans_by_name.values()),
         ("changes", _list_change_results(state)),
@@ -263,68 +268,72 @@
         ("claims", state.claim_by_id.values()),
         ("documents", (state.document,)),
     ):
-        source = iter(found)
-        while part := tuple(itertools.islice(source, ROWS_PER_PART)):
+        remaining = iter(table_rows)
+        while part := tuple(itertools.islice(remaining, MAX_ROWS_PER_PART)):
             yield _encode_part(table, part)
 
 
 def join_snapshot_parts(parts) -> bytes:
-    """Join the parts of a snapshot to one image."""
+    """Join the encoded parts of a snapshot to one byte string."""
     return _ENCODER.encode(tuple(parts))
 
 
 def split_snapshot_parts(data: bytes) -> tuple[bytes, ...]:
-    """Return the parts of an image."""
-    return _PARTS.decode(data) if data else ()
+    """Return the encoded parts of a joined snapshot."""
+    return _PART_LIST_DECODER.decode(data) if data else ()
 
 
 def encode_snapshot(state: ControlState) -> bytes:
-    """Encode all tables for a snapshot."""
+    """Encode all tables as one joined snapshot."""
     return join_snapshot_parts(encode_snapshot_parts(state))
 
 
 def decode_snapshot(data: bytes) -> ControlState:
-    """Rebuild the tables from an image; empty bytes give empty tables."""
+    """Rebuild the tables from a snapshot; empty bytes give empty tables."""
     return decode_snapshot_parts(split_snapshot_parts(data))
 
 
 def decode_snapshot_parts(parts) -> ControlState:
-    """Rebuild the tables from parts of a snapshot; none give empty tables."""
+    """Rebuild the tables from snapshot parts; no parts give empty tables."""
     if not parts:
         return EMPTY_STATE
-    rows_by_table = {name: [] for name in _ROWS_BY_TABLE}
-    head = ImageHead(0, 0)
+    rows_by_table = {name: [] for name in _DECODER_BY_TABLE}
+    header = SnapshotHeader(0, 0)
     for encoded in parts:
-        part = _PART.decode(encoded)
+        part = _PART_DECODER.decode(encoded)
         if part.table == "head":
-            head = _HEAD.decode(part.rows)
+            header = _HEADER_DECODER.decode(part.rows)
         else:
-            decoder = _ROWS_BY_TABLE[part.table]
+            decoder = _DECODER_BY_TABLE[part.table]
             rows_by_table[part.table].extend(decoder.decode(part.rows))
-    return _build_state(head, rows_by_table)
+    return _build_state(header, rows_by_table)
 
 
-def _build_state(head, found) -> ControlState:
+def _build_state(header, rows_by_table) -> ControlState:
     lists = rows.Lists(
-        head.revision,
-        {c.name: c for c in found["customers"]},
-        {p.name: p for p in found["plans"]},
+        header.revision,
+        {c.name: c for c in rows_by_table["customers"]},
+        {p.name: p for p in rows_by_table["plans"]},
     )
     return ControlState(
-        version=head.version,
+        version=header.version,
         lists=lists,
-        change_results=immutables.Map(found["changes"]),
-        change_order=tuple(key for key, _ in found["changes"]),
-        vm_by_session=immutables.Map((v.session, v) for v in found["vms"]),
+        change_results=immutables.Map(rows_by_table["changes"]),
+        change_order=tuple(key for key, _ in rows_by_table["changes"]),
+        vm_by_session=immutables.Map(
+            (v.session, v) for v in rows_by_table["vms"]
+        ),
         endpoint_by_id=immutables.Map(
-            (e.endpoint_id, e) for e in found["endpoints"]
+            (e.endpoint_id, e) for e in rows_by_table["endpoints"]
         ),
-        lost_at_by_id=immutables.Map(found["lost_at"]),
+        lost_at_by_id=immutables.Map(rows_by_table["lost_at"]),
         ownership_by_id=immutables.Map(
-            (o.endpoint_id, o) for o in found["ownerships"]
+            (o.endpoint_id, o) for o in rows_by_table["ownerships"]
+        ),
+        claim_by_id=immutables.Map(
+            (c.claim_id, c) for c in rows_by_table["claims"]
         ),
-        claim_by_id=immutables.Map((c.claim_id, c) for c in found["claims"]),
-        document=(found["documents"] or [rows.NO_DOCUMENT])[0],
+        document=(rows_by_table["documents"] or [rows.NO_DOCUMENT])[0],
     )
 
 
@@ -334,15 +343,15 @@
 
 def _encode_part(table, content) -> bytes:
     encoded = msgspec.Raw(_ENCODER.encode(content))
-    return _ENCODER.encode(ImagePart(table, encoded))
+    return _ENCODER.encode(SnapshotPart(table, encoded))
 
 
-_PARTS = msgspec.msgpack.Decoder(tuple[bytes, ...])
-_PART = msgspec.msgpack.Decoder(ImagePart)
-_HEAD = msgspec.msgpack.Decoder(ImageHead)
-_ROWS_BY_TABLE = {
-    name: msgspec.msgpack.Decoder(tuple[kind, ...])
-    for name, kind in (
+_PART_LIST_DECODER = msgspec.msgpack.Decoder(tuple[bytes, ...])
+_PART_DECODER = msgspec.msgpack.Decoder(SnapshotPart)
+_HEADER_DECODER = msgspec.msgpack.Decoder(SnapshotHeader)
+_DECODER_BY_TABLE = {
+    name: msgspec.msgpack.Decoder(tuple[row_type, ...])
+    for name, row_type in (
         ("customers", rows.Customer),
         ("plans", rows.Plan),
         ("changes", tuple[str, ChangeResult]),
@@ -358,39 +367,42 @@
 
 @functools.singledispatch
 def apply_command(command, state: ControlState) -> Outcome:
-    """Apply one command; a command that no longer fits changes nothing."""
-    raise TypeError(f"not a command: {type(command).__name__}")
+    """Apply one command.
+
+    A command whose preconditions no longer hold leaves the state unchanged.
+    """
+    raise TypeError(f"unsupported control command: {type(command).__name__}")
 
 
 @apply_command.register
 def _apply_lists(command: ApplyLists, state: ControlState) -> Outcome:
-    first = state.change_results.get(command.change_id)
-    if first is not None:
-        return Outcome(state, _repeat_result(first, command))
+    stored = state.change_results.get(command.change_id)
+    if stored is not None:
+        return Outcome(state, _reuse_result(stored, command))
     revision = state.lists.revision
     if command.if_revision not in (-1, revision):
         detail = f"revision is {revision}, not {command.if_revision}"
         result = ChangeResult(command.digest, False, revision, detail)
-        return Outcome(_remember(state, command.change_id, result), result)
+        return Outcome(_store_result(state, command.change_id, result), result)
     lists = rows.Lists(
         revision + 1,
         {c.name: c for c in command.customers},
         {p.name: p for p in command.plans},
     )
     result = ChangeResult(command.digest, True, lists.revision, "")
-    touched = (
+    changes = (
         Change("lists", ""),
         *_list_changes(
             "customer", state.lists.customers_by_name, lists.customers_by_name
         ),
         *_list_changes("plan", state.lists.plans_by_name, lists.plans_by_name),
     )
-    state = _remember(state, command.change_id, result)
-    return Outcome(state._replace(lists=lists), result, touched)
+    state = _store_result(state, command.change_id, result)
+    return Outcome(state._replace(lists=lists), result, changes)
 
 
 def _list_changes(kind, old_by_name, new_by_name):
-    """Return which rows differ between two tables."""
+    """Return a change for each row that differs between two tables."""
     names = [n for n, row in new_by_name.items() if old_by_name.get(n) != row]
     names += [n for n in old_by_name if n not in new_by_name]
     return tuple(Change(kind, name) for name in names)
@@ -421,37 +433,37 @@
 
 @apply_command.register
 def _remove_vms(command: RemoveVms, state: ControlState) -> Outcome:
-    gone = {s for s in command.sessions if s in state.vm_by_session}
-    if not gone:
+    ended = {s for s in command.sessions if s in state.vm_by_session}
+    if not ended:
         return Outcome(state)
     table = state.vm_by_session
     changes = []
-    for session in sorted(gone):
+    for session in sorted(ended):
         table = table.delete(session)
         changes.append(Change("vm", session))
-    freed = {}
+    updated = {}
     for endpoint_id, ownership in state.ownership_by_id.items():
-        if ownership.session in gone:
-            freed[endpoint_id] = _free(ownership, gone)
-        elif ownership.previous in gone:
-            freed[endpoint_id] = ownership._replace(previous="")
-    changes.extend(Change("ownership", key) for key in freed)
+        if ownership.session in ended:
+            updated[endpoint_id] = _revoke_ownership(ownership, ended)
+        elif ownership.previous in ended:
+            updated[endpoint_id] = ownership._replace(previous="")
+    changes.extend(Change("ownership", key) for key in updated)
     state = state._replace(
         vm_by_session=table,
-        ownership_by_id=state.ownership_by_id.update(freed),
+        ownership_by_id=state.ownership_by_id.update(updated),
     )
     return Outcome(state, None, tuple(changes))
 
 
-def _free(ownership, gone):
-    """Take an endpoint from a session that ended.
+def _revoke_ownership(ownership, ended):
+    """Return an endpoint's ownership after the session of its owner ended.
 
-    If it was to be handed over, the session before gets it back under a new
-    epoch, whether or not it has handed it over already.
+    During a handover the endpoint returns to the previous owner under a new
+    epoch, whether or not that owner has already handed it over.
     """
-    heir = "" if ownership.previous in gone else ownership.previous
+    session = "" if ownership.previous in ended else ownership.previous
     return ownership._replace(
-        session=heir, epoch=ownership.epoch + 1, previous=""
+        session=session, epoch=ownership.epoch + 1, previous=""
     )
 
 
@@ -460,19 +472,19 @@
     command: ReportEndpoints, state: ControlState
 ) -> Outcome:
     table = state.endpoint_by_id
-    lost = state.lost_at_by_id
+    lost_at = state.lost_at_by_id
     changes = []
     for endpoint in command.endpoints:
-        known = table.get(endpoint.endpoint_id)
-        if known is not None and not rows.is_newer(endpoint, known):
+        stored = table.get(endpoint.endpoint_id)
+        if stored is not None and not rows.is_newer(endpoint, stored):
             continue
         table = table.set(endpoint.endpoint_id, endpoint)
         changes.append(Change("endpoint", endpoint.endpoint_id))
         if endpoint.state == "lost":
-            lost = lost.set(endpoint.endpoint_id, command.now_ms)
-        elif endpoint.endpoint_id in lost:
-            lost = lost.delete(endpoint.endpoint_id)
-    state = state._replace(endpoint_by_id=table, lost_at_by_id=lost)
+            lost_at = lost_at.set(endpoint.endpoint_id, command.now_ms)
+        elif endpoint.endpoint_id in lost_at:
+            lost_at = lost_at.delete(endpoint.endpoint_id)
+    state = state._replace(endpoint_by_id=table, lost_at_by_id=lost_at)
     return Outcome(state, None, tuple(changes))
 
 
@@ -482,17 +494,17 @@
     changes = []
     for assignment in command.assignments:
         endpoint_id = assignment.endpoint_id
-        known = table.get(endpoint_id) or rows.Ownership(endpoint_id, "", 0)
-        if known.epoch != assignment.epoch or known.previous:
+        current = table.get(endpoint_id) or rows.Ownership(endpoint_id, "", 0)
+        if current.epoch != assignment.epoch or current.previous:
             continue
         if assignment.session not in state.vm_by_session:
             continue
-        if assignment.session == known.session:
+        if assignment.session == current.session:
             continue
-        row = rows.Ownership(
-            endpoint_id, assignment.session, known.epoch + 1, known.session
+        new = rows.Ownership(
+            endpoint_id, assignment.session, current.epoch + 1, current.session
         )
-        table = table.set(endpoint_id, row)
+        table = table.set(endpoint_id, new)
         changes.append(Change("ownership", endpoint_id))
     state = state._replace(ownership_by_id=table)
     return Outcome(state, None, tuple(changes))
@@ -503,10 +515,10 @@
     table = state.ownership_by_id
     changes = []
     for endpoint_id, epoch in command.handovers:
-        known = table.get(endpoint_id)
-        if known is None or known.epoch != epoch or not known.previous:
+        current = table.get(endpoint_id)
+        if current is None or current.epoch != epoch or not current.previous:
             continue
-        table = table.set(endpoint_id, known._replace(previous=""))
+        table = table.set(endpoint_id, current._replace(previous=""))
         changes.append(Change("ownership", endpoint_id))
     state = state._replace(ownership_by_id=table)
     return Outcome(state, None, tuple(changes))
@@ -514,9 +526,9 @@
 
 @apply_command.register
 def _claim_command(command: ClaimCommand, state: ControlState) -> Outcome:
-    known = state.claim_by_id.get(command.claim.claim_id)
-    if known is not None:
-        return Outcome(state, ClaimResult(False, known))
+    existing = state.claim_by_id.get(command.claim.claim_id)
+    if existing is not None:
+        return Outcome(state, ClaimResult(False, existing))
     table = state.claim_by_id.set(command.claim.claim_id, command.claim)
     state = state._replace(claim_by_id=table)
     return Outcome(state, ClaimResult(True, command.claim))
@@ -524,15 +536,15 @@
 
 @apply_command.register
 def _resolve_claim(command: ResolveClaim, state: ControlState) -> Outcome:
-    known = state.claim_by_id.get(command.claim_id)
-    if known is None or known.attempt != command.attempt:
+    claim = state.claim_by_id.get(command.claim_id)
+    if claim is None or claim.attempt != command.attempt:
         return Outcome(state)
-    if known.outcome != "claimed":
+    if claim.outcome != "claimed":
         return Outcome(state)
     if command.outcome == "free":
         table = state.claim_by_id.delete(command.claim_id)
     else:
-        resolved = known._replace(outcome=command.outcome, value=command.value)
+        resolved = claim._replace(outcome=command.outcome, value=command.value)
         table = state.claim_by_id.set(command.claim_id, resolved)
     return Outcome(state._replace(claim_by_id=table))
 
@@ -541,14 +553,14 @@
 def _expire(command: Expire, state: ControlState) -> Outcome:
     claims = state.claim_by_id
     for claim in state.claim_by_id.values():
-        if claim.created_ms + CLAIM_KEPT_MS < command.now_ms:
+        if claim.created_ms + CLAIM_RETENTION_MS < command.now_ms:
             claims = claims.delete(claim.claim_id)
     endpoints = state.endpoint_by_id
     lost_at = state.lost_at_by_id
     ownerships = state.ownership_by_id
     changes = []
-    for endpoint_id, since in state.lost_at_by_id.items():
-        if since + LOST_ENDPOINT_KEPT_MS >= command.now_ms:
+    for endpoint_id, lost_ms in state.lost_at_by_id.items():
+        if lost_ms + LOST_ENDPOINT_RETENTION_MS >= command.now_ms:
             continue
         endpoints = endpoints.delete(endpoint_id)
         lost_at = lost_at.delete(endpoint_id)
@@ -565,17 +577,19 @@
     return Outcome(state, None, tuple(changes))
 
 
-def _remember(state, change_id, result):
+def _store_result(state, change_id, result):
+    """Store the result of a change, and drop the oldest one at the limit."""
     results = state.change_results.set(change_id, result)
     order = state.change_order + (change_id,)
-    if len(order) > CHANGE_IDS_KEPT:
+    if len(order) > MAX_CHANGE_RESULTS:
         results = results.delete(order[0])
         order = order[1:]
     return state._replace(change_results=results, change_order=order)
 
 
-def _repeat_result(first: ChangeResult, command: ApplyLists):
-    if first.digest == command.digest:
-        return first
+def _reuse_result(stored: ChangeResult, command: ApplyLists):
+    """Answer a resent change; refuse a change id used for another change."""
+    if stored.digest == command.digest:
+        return stored
     detail = "change id was used for another change"
-    return ChangeResult(first.digest, False, first.revision, detail)
+    return ChangeResult(stored.digest, False, stored.revision, detail)
--- a/chervilspindle/control/state_test.py
+++ b/chervilspindle/control/state_test.py
@@ -1,4 +1,4 @@
-"""Tests of the replicated tables and of placement."""
+"""Tests of the replicated state machine, placement and the change feed."""
 
 import hypothesis
 from hypothesis import strategies
@@ -50,7 +50,7 @@
 
 
 def end_handovers(state):
-    """Let all new owners take over."""
+    """Complete all handovers in progress."""
     moving = tuple(
         state_module.Handover(row.endpoint_id, row.epoch)
         for row in state.ownership_by_id.values()
@@ -60,34 +60,34 @@
 
 
 def place(state):
-    """Run placement until it has nothing to do."""
+    """Apply planned assignments until none is left."""
     for _ in range(20):
         index = placement.PlacementIndex(state)
         assignments = placement.plan_assignments(state, index)
         if not assignments:
             return state
         state, _ = apply_all(state, state_module.Assign(assignments))
-    raise AssertionError("placement never settles")
+    raise AssertionError("placement still plans assignments after 20 rounds")
 
 
 def apply_lists(change_id, if_revision, digest="d"):
     return state_module.ApplyLists(change_id, digest, if_revision, (), (PLAN,))
 
 
-def test_race_has_one_winner_and_a_resend_its_first_answer():
+def test_concurrent_changes_accept_one_and_resends_get_the_first_result():
     state = state_module.EMPTY_STATE
     state, first = apply_all(state, apply_lists("a", 0))
     state, second = apply_all(state, apply_lists("b", 0))
     assert (first.accepted, second.accepted) == (True, False)
     state, _ = apply_all(state, apply_lists("c", 1))
-    state, again = apply_all(state, apply_lists("a", 0))
-    assert again == first
-    state, again = apply_all(state, apply_lists("b", 0))
-    assert again == second
+    state, resent = apply_all(state, apply_lists("a", 0))
+    assert resent == first
+    state, resent = apply_all(state, apply_lists("b", 0))
+    assert resent == second
     assert state.lists.revision == 2
 
 
-def test_change_id_of_another_change_is_refused():
+def test_reused_change_id_with_another_digest_is_refused():
     state, _ = apply_all(state_module.EMPTY_STATE, apply_lists("a", 0))
     state, result = apply_all(state, apply_lists("a", 1, "other"))
     assert not result.accepted
@@ -98,7 +98,7 @@
     return rows.Claim("c/k", "digest", attempt, "claimed", b"", 0)
 
 
-def test_claim_is_granted_once_and_freed_by_its_attempt_alone():
+def test_claim_is_granted_once_and_released_only_by_its_attempt():
     state = state_module.EMPTY_STATE
     state, first = apply_all(
         state, state_module.ClaimCommand(build_claim("one"))
@@ -114,7 +114,7 @@
     assert "c/k" not in state.claim_by_id
 
 
-def test_recorded_outcome_is_never_replaced():
+def test_recorded_outcome_of_a_claim_is_final():
     state, _ = apply_all(
         state_module.EMPTY_STATE,
         state_module.ClaimCommand(build_claim("one")),
@@ -124,7 +124,7 @@
     assert state.claim_by_id["c/k"].value == b"1"
 
 
-def test_late_announcement_does_not_undo_a_newer_one():
+def test_out_of_order_announcement_is_ignored():
     draining = build_endpoint("e", "s", sequence=9, state="draining")
     state, _ = apply_all(
         state_module.EMPTY_STATE,
@@ -134,7 +134,7 @@
     assert state.endpoint_by_id["e"].state == "draining"
 
 
-def test_old_incarnation_of_a_vm_is_not_registered():
+def test_older_incarnation_of_a_vm_is_not_registered():
     new = build_vm(1)._replace(incarnation=5, session="vm-1@5")
     state, _ = apply_all(
         state_module.EMPTY_STATE,
@@ -144,7 +144,7 @@
     assert list(state.vm_by_session) == ["vm-1@5"]
 
 
-def test_image_restores_all_tables():
+def test_snapshot_restores_all_tables():
     state = place(build_tables())
     state, _ = apply_all(
         state,
@@ -168,7 +168,7 @@
         assert len(zones) == 2
 
 
-def test_lost_vm_hands_its_endpoints_to_others_under_a_new_epoch():
+def test_endpoints_of_a_removed_vm_are_reassigned_under_a_new_epoch():
     state = place(build_tables())
     before = state.ownership_by_id
     state, _ = apply_all(state, state_module.RemoveVms(("vm-0@1",)))
@@ -180,7 +180,7 @@
 
 
 def drain_vm():
-    """Return tables in which the endpoints of one VM are handed over."""
+    """Drain one VM; return the tables and the handovers in progress."""
     state = place(build_tables())
     state, _ = apply_all(
         state, state_module.RegisterVm(build_vm(0, state="draining"))
@@ -192,7 +192,7 @@
     return state, moving
 
 
-def test_endpoint_of_a_draining_vm_is_never_without_owner():
+def test_endpoints_of_a_draining_vm_always_have_an_owner():
     state, moving = drain_vm()
     assert all(o.session for o in state.ownership_by_id.values())
     state = end_handovers(state)
@@ -201,42 +201,42 @@
         assert not state.ownership_by_id[row.endpoint_id].previous
 
 
-def test_endpoint_on_the_move_is_not_granted_again():
+def test_endpoint_is_not_reassigned_during_a_handover():
     state, moving = drain_vm()
     row = moving[0]
     other = next(s for s in state.vm_by_session if s != row.session)
-    again = state_module.Assignment(row.endpoint_id, other, row.epoch)
-    state, _ = apply_all(state, state_module.Assign((again,)))
+    assignment = state_module.Assignment(row.endpoint_id, other, row.epoch)
+    state, _ = apply_all(state, state_module.Assign((assignment,)))
     assert state.ownership_by_id[row.endpoint_id] == row
 
 
-def test_owner_before_gets_back_what_a_lost_vm_was_to_take_over():
+def test_endpoint_returns_to_the_previous_owner_if_the_new_one_is_lost():
     state, moving = drain_vm()
     row = moving[0]
     state, _ = apply_all(state, state_module.RemoveVms((row.session,)))
-    found = state.ownership_by_id[row.endpoint_id]
-    assert found == row._replace(
+    ownership = state.ownership_by_id[row.endpoint_id]
+    assert ownership == row._replace(
         session=row.previous, previous="", epoch=row.epoch + 1
     )
 
 
-def test_new_owner_need_not_ask_an_owner_that_is_lost():
+def test_handover_ends_when_the_previous_owner_is_lost():
     state, moving = drain_vm()
     state, _ = apply_all(state, state_module.RemoveVms(("vm-0@1",)))
     for row in moving:
-        found = state.ownership_by_id[row.endpoint_id]
-        assert found == row._replace(previous="")
+        ownership = state.ownership_by_id[row.endpoint_id]
+        assert ownership == row._replace(previous="")
 
 
-def test_late_end_of_an_older_handover_changes_nothing():
+def test_end_of_an_earlier_handover_is_ignored():
     state, moving = drain_vm()
     row = moving[0]
-    late = state_module.Handover(row.endpoint_id, row.epoch - 1)
-    state, _ = apply_all(state, state_module.EndHandovers((late,)))
+    earlier = state_module.Handover(row.endpoint_id, row.epoch - 1)
+    state, _ = apply_all(state, state_module.EndHandovers((earlier,)))
     assert state.ownership_by_id[row.endpoint_id] == row
 
 
-def test_new_vm_gets_endpoints_a_few_at_a_time():
+def test_rebalancing_to_a_new_vm_is_limited_per_round():
     state = place(build_tables(vms=2, services=12))
     state, _ = apply_all(state, state_module.RegisterVm(build_vm(9)))
     moves = placement.plan_moves(state, placement.PlacementIndex(state))
@@ -245,7 +245,7 @@
     assert len(set(services)) == len(services)
 
 
-def test_endpoint_whose_replica_drains_is_not_moved():
+def test_endpoint_is_not_moved_while_its_replica_drains():
     state = place(build_tables(vms=2, services=12))
     draining = tuple(
         build_endpoint(f"s-{n}.1", f"s-{n}", "abc"[n % 3], 2, "draining")
@@ -286,7 +286,7 @@
 
 
 def build_step(name, state, index):
-    """Return a command of the leader."""
+    """Return the command that the leader would propose for a step."""
     if name == "place":
         planned = placement.plan_assignments(state, index)
         return state_module.Assign(planned)
@@ -301,8 +301,8 @@
 
 @hypothesis.given(COMMANDS)
 @hypothesis.settings(derandomize=True, max_examples=200, deadline=None)
-def test_index_and_deltas_follow_any_history(history):
-    """Kept up row by row they equal what is built from the whole tables."""
+def test_incremental_index_and_deltas_match_the_tables(history):
+    """The index updated by changes equals one built from the whole tables."""
     state = build_tables(vms=2, services=3)
     index = placement.PlacementIndex(state)
     feed = changes.ChangeFeed()
@@ -331,8 +331,8 @@
 
 @hypothesis.given(strategies.integers(2, 6), strategies.integers(1, 12))
 @hypothesis.settings(derandomize=True, max_examples=60, deadline=None)
-def test_moves_come_to_an_end(vms, services):
-    """No endpoint is taken from an entry that gets it back."""
+def test_rebalancing_terminates(vms, services):
+    """Rebalancing settles, and no endpoint returns to the owner it left."""
     state = build_tables(vms=1, services=services)
     state = place(state)
     for number in range(1, vms):
@@ -349,28 +349,28 @@
             new = state.ownership_by_id[move.endpoint_id].session
             assert new != before[move.endpoint_id].session
     else:
-        raise AssertionError("endpoints move for ever")
+        raise AssertionError("rebalancing still plans moves after 40 rounds")
     check_placement(state)
 
 
 def check_placement(state):
-    """Owners sit in their endpoints' zones, and load is even within them."""
+    """Check that owners are in their endpoints' zones and loads are even."""
     index = placement.PlacementIndex(state)
     sessions_by_zone = {}
     for vm in state.vm_by_session.values():
         sessions_by_zone.setdefault(vm.zone, set()).add(vm.session)
     for endpoint in state.endpoint_by_id.values():
-        home = sessions_by_zone.get(endpoint.zone, set())
+        local = sessions_by_zone.get(endpoint.zone, set())
         siblings = set(index.list_siblings(endpoint.endpoint_id))
         row = state.ownership_by_id[endpoint.endpoint_id]
-        assert row.session in home or not home - siblings, row
+        assert row.session in local or not local - siblings, row
     loads = index.count_loads(state)
     for sessions in sessions_by_zone.values():
         counts = [loads[s] for s in sessions]
         assert max(counts) - min(counts) <= 1, loads
 
 
-def test_lost_zone_leaves_every_service_an_owned_replica():
+def test_loss_of_a_zone_leaves_each_service_an_owned_replica():
     state = build_tables(vms=0, services=30)
     for number in range(9):
         vm = build_vm(number, "abc"[number % 3])
@@ -378,7 +378,7 @@
     state = place(state)
     check_placement(state)
     for zone in "abc":
-        left = {
+        remaining = {
             e.service
             for e in state.endpoint_by_id.values()
             if e.zone != zone
@@ -387,10 +387,10 @@
             ].zone
             != zone
         }
-        assert len(left) == 30
+        assert len(remaining) == 30
 
 
-def test_endpoints_of_a_zone_without_vms_come_home_later():
+def test_endpoints_move_to_their_zone_once_it_has_a_vm():
     state = build_tables(vms=0, services=12)
     for number in (0, 1):
         state, _ = apply_all(
@@ -406,7 +406,7 @@
     check_placement(state)
 
 
-def test_endpoints_of_unknown_zones_spread_over_all_vms():
+def test_endpoints_of_zones_without_vms_are_balanced_over_all_vms():
     state = build_tables(vms=0, services=12)
     for number in range(2):
         vm = build_vm(number, "xy"[number])
@@ -448,25 +448,25 @@
     )
 )
 @hypothesis.settings(derandomize=True, max_examples=200, deadline=None)
-def test_rows_of_the_lists_add_up_to_the_lists(history):
-    """An entry that skips some versions ends up with the same lists."""
+def test_list_deltas_add_up_to_the_lists(history):
+    """An entry that gets only some of the deltas still has equal lists."""
     state = state_module.EMPTY_STATE
     feed = changes.ChangeFeed()
     entry = directory.Directory()
-    for number, (names, share, is_heard) in enumerate(history):
+    for number, (names, share, is_delivered) in enumerate(history):
         command = build_lists_change(number, names, share)
         outcome = state_module.apply_command(
             command, state._replace(version=state.version + 1)
         )
         state = outcome.state
         feed.record(state.version, outcome.changes)
-        if is_heard:
+        if is_delivered:
             data = feed.get_delta(state, entry.version)
             assert entry.apply_delta(messages.decode_delta(data))
             assert entry.lists == state.lists
 
 
-def test_delta_of_one_customer_does_not_grow_with_the_lists():
+def test_delta_size_of_one_customer_is_independent_of_the_lists():
     sizes = []
     for count in (10, 5000):
         names = [f"c{n}" for n in range(count)]
