--- a/chervilspindle/control/changes.py
+++ b/chervilspindle/control/changes.py
@@ -1,16 +1,16 @@
-"""Deltas of the replicated tables for entries.
+"""Deltas of the replicated tables for entry processes.
 
-Each member remembers which rows the latest versions touched, so that a
-heartbeat is answered with just those rows; one that is further behind gets
-all tables. Entries that know the same version share one encoded delta.
+Each member records which rows the latest versions changed, so that the reply
+to a heartbeat or watch call holds just these rows; an entry that is further
+behind gets all tables. Entries at the same version share one encoded delta.
 """
 
 import collections
 
 from chervilspindle.wire import messages
 
-VERSIONS_KEPT = 4096
-KINDS = (
+MAX_RETAINED_VERSIONS = 4096
+CHANGE_KINDS = (
     "lists",
     "customer",
     "plan",
@@ -22,53 +22,57 @@
 
 
 class ChangeFeed:
-    """Touched rows by version, and a cache of built deltas."""
+    """Changed rows by version, and a cache of encoded deltas."""
 
     def __init__(self):
         self.changes_by_version = collections.OrderedDict()
         self.oldest_version = 0
-        self.delta_by_known = {}
+        self.delta_by_base_version = {}
 
     def reset(self, version: int):
-        """Forget all, after the tables were replaced by a snapshot."""
+        """Clear all records after a snapshot replaced the tables."""
         self.changes_by_version.clear()
         self.oldest_version = version
-        self.delta_by_known.clear()
+        self.delta_by_base_version.clear()
 
     def record(self, version: int, changes):
-        """Note the rows that a version touched."""
-        self.delta_by_known.clear()
+        """Record the rows that a version changed."""
+        self.delta_by_base_version.clear()
         if changes:
             self.changes_by_version[version] = tuple(changes)
-        while len(self.changes_by_version) > VERSIONS_KEPT:
+        while len(self.changes_by_version) > MAX_RETAINED_VERSIONS:
             oldest, _ = self.changes_by_version.popitem(last=False)
             self.oldest_version = oldest
 
     def get_delta(self, state, known_version: int) -> bytes:
-        """Return the encoded delta of what changed since `known_version`."""
+        """Return the encoded delta of the rows changed since `known_version`.
+
+        The delta is a full one if the feed does not reach back that far, or
+        if the tables have not reached `known_version`.
+        """
         if not self.oldest_version <= known_version <= state.version:
             known_version = 0
-        data = self.delta_by_known.get(known_version)
+        data = self.delta_by_base_version.get(known_version)
         if data is None:
-            delta = self._build(state, known_version)
+            delta = self._build_delta(state, known_version)
             data = messages.encode_delta(delta)
-            self.delta_by_known[known_version] = data
+            self.delta_by_base_version[known_version] = data
         return data
 
-    def _build(self, state, known_version: int) -> messages.Delta:
+    def _build_delta(self, state, known_version: int) -> messages.Delta:
         if known_version == 0:
             return build_full_delta(state)
-        keys_by_kind = {kind: set() for kind in KINDS}
+        keys_by_kind = {kind: set() for kind in CHANGE_KINDS}
         for version in reversed(self.changes_by_version):
             if version <= known_version:
                 break
             for change in self.changes_by_version[version]:
                 keys_by_kind[change.kind].add(change.key)
-        return build_partial(state, keys_by_kind)
+        return build_incremental_delta(state, keys_by_kind)
 
 
 def build_full_delta(state) -> messages.Delta:
-    """Build a delta that replaces all that an entry holds."""
+    """Build a delta that replaces all tables of an entry."""
     return messages.Delta(
         version=state.version,
         full=True,
@@ -89,37 +93,44 @@
     )
 
 
-def build_partial(state, keys_by_kind) -> messages.Delta:
-    """Build a delta of the named rows; a missing row counts as gone."""
-    vms, gone_vms = _split(state.vm_by_session, keys_by_kind["vm"])
-    rows, gone_rows = _split(state.endpoint_by_id, keys_by_kind["endpoint"])
-    ownerships, _ = _split(state.ownership_by_id, keys_by_kind["ownership"])
+def build_incremental_delta(state, keys_by_kind) -> messages.Delta:
+    """Build a delta of the given rows; missing rows are sent as removed."""
+    vms, gone_vms = _partition_keys(state.vm_by_session, keys_by_kind["vm"])
+    endpoints, gone_endpoints = _partition_keys(
+        state.endpoint_by_id, keys_by_kind["endpoint"]
+    )
+    ownerships, _ = _partition_keys(
+        state.ownership_by_id, keys_by_kind["ownership"]
+    )
     return messages.Delta(
         version=state.version,
         full=False,
-        lists=_build_lists(state.lists, keys_by_kind),
+        lists=_build_lists_delta(state.lists, keys_by_kind),
         vms=vms,
-        endpoints=rows,
+        endpoints=endpoints,
         ownerships=ownerships,
         gone_vms=gone_vms,
-        gone_endpoints=gone_rows,
+        gone_endpoints=gone_endpoints,
         document=state.document if keys_by_kind["document"] else None,
     )
 
 
-def _build_lists(lists, keys_by_kind):
+def _build_lists_delta(lists, keys_by_kind):
     if not keys_by_kind["lists"]:
         return None
-    customers, gone_customers = _split(
+    customers, gone_customers = _partition_keys(
         lists.customers_by_name, keys_by_kind["customer"]
     )
-    plans, gone_plans = _split(lists.plans_by_name, keys_by_kind["plan"])
+    plans, gone_plans = _partition_keys(
+        lists.plans_by_name, keys_by_kind["plan"]
+    )
     return messages.ListsDelta(
         lists.revision, False, customers, plans, gone_customers, gone_plans
     )
 
 
-def _split(table, keys):
+def _partition_keys(table, keys):
+    """Return the rows that exist, and the keys of those that do not."""
     present = tuple(table[key] for key in sorted(keys) if key in table)
-    gone = tuple(key for key in sorted(keys) if key not in table)
-    return present, gone
+    missing = tuple(key for key in sorted(keys) if key not in table)
+    return present, missing
--- a/chervilspindle/control/leader.py
+++ b/chervilspindle/control/leader.py
@@ -1,10 +1,10 @@
-"""What the control leader does beside the log: sessions and placement.
+"""Duties of the control leader beside the log: sessions and placement.
 
-A heartbeat grants its session a lease, which the session counts from the
-moment at which it sent the heartbeat; the leader counts from the later
-moment at which it answered, plus a margin, so that it never declares a
-session ended that still holds its lease. A new leader assumes that each
-session was renewed at its own election.
+A heartbeat grants its session a lease. The session counts the lease from the
+time at which it sent the heartbeat. The leader counts it from the later time
+at which it replied, and adds a margin, so that it never ends a session that
+still holds its lease. A new leader treats all sessions as renewed at the time
+of its election.
 """
 
 import functools
@@ -19,13 +19,13 @@
 
 LEASE_MS = 3000
 LEASE_MARGIN_MS = 300
-TEND_PERIOD_S = 0.1
-EXPIRE_PERIOD_MS = 60000
-MOVE_PERIOD_MS = 500.0
+TICK_PERIOD_S = 0.1
+EXPIRY_PERIOD_MS = 60000
+REBALANCE_PERIOD_MS = 500.0
 
 
 class Leader:
-    """Serves entries while its member leads.
+    """Serves entry processes while its member is the leader.
 
     Parameters
     ----------
@@ -38,107 +38,118 @@
     def __init__(self, node, timers, read_clock):
         self.node = node
         self.read_clock = read_clock
-        self.renewed_by_session = {}
+        self.last_renewal_ms_by_session = {}
         self.revision_by_session = {}
-        self.pending_assign = False
-        self.move_due_ms = -math.inf
-        self.even_changes = None
-        self.expire_due_ms = -math.inf
-        node.leader_listeners.append(self._start_term)
-        timers.subscribe("leader-tend", TEND_PERIOD_S, self.tend)
+        self.assignment_pending = False
+        self.next_rebalance_ms = -math.inf
+        # Index and its change count when no moves were needed.
+        self.last_balanced = None
+        self.next_expiry_ms = -math.inf
+        node.leader_listeners.append(self._on_elected)
+        timers.subscribe("leader-tick", TICK_PERIOD_S, self.tick)
 
     def handle(self, message):
-        """Answer one call of an entry, or say who leads."""
+        """Answer a call of an entry; if not the leader, name its VM."""
         if not self.node.is_leader():
             return messages.NotLeader(self.node.get_leader_vm())
         return handle_call(message, self)
 
-    def tend(self):
-        """End sessions whose lease ran out, then place endpoints."""
+    def tick(self):
+        """End sessions whose lease expired, then assign endpoints."""
         if not self.node.is_leader():
             return
         now = self.read_clock()
-        self._end_expired(now)
-        self._place(now)
-        if now >= self.expire_due_ms:
-            self.expire_due_ms = now + EXPIRE_PERIOD_MS
+        self._expire_sessions(now)
+        self._assign_owners(now)
+        if now >= self.next_expiry_ms:
+            self.next_expiry_ms = now + EXPIRY_PERIOD_MS
             command = state_module.Expire(logs.read_wall_ms())
-            self._propose_quietly(command)
+            self._propose_best_effort(command)
 
-    def _start_term(self):
+    def _on_elected(self):
         now = self.read_clock()
-        self.renewed_by_session = {
+        self.last_renewal_ms_by_session = {
             session: now for session in self.node.tables.vm_by_session
         }
         self.revision_by_session = {}
-        self.pending_assign = False
+        self.assignment_pending = False
 
-    def _end_expired(self, now):
-        limit = LEASE_MS + LEASE_MARGIN_MS
+    def _expire_sessions(self, now):
+        timeout_ms = LEASE_MS + LEASE_MARGIN_MS
         expired = []
         for session in self.node.tables.vm_by_session:
-            renewed = self.renewed_by_session.setdefault(session, now)
-            if now > renewed + limit:
+            last_renewal_ms = self.last_renewal_ms_by_session.setdefault(
+                session, now
+            )
+            if now > last_renewal_ms + timeout_ms:
                 logs.log_decision("session-expired", session=session)
-                self.renewed_by_session[session] = now
+                self.last_renewal_ms_by_session[session] = now
                 expired.append(session)
         if expired:
-            self._propose_quietly(state_module.RemoveVms(tuple(expired)))
-            self._forget_ended()
-
-    def _forget_ended(self):
-        """Drop what is remembered of sessions that ended earlier."""
-        for table in (self.renewed_by_session, self.revision_by_session):
+            self._propose_best_effort(state_module.RemoveVms(tuple(expired)))
+            self._drop_ended_sessions()
+
+    def _drop_ended_sessions(self):
+        """Drop local data of sessions that are no longer registered."""
+        for table in (
+            self.last_renewal_ms_by_session,
+            self.revision_by_session,
+        ):
             for session in list(table):
                 if session not in self.node.tables.vm_by_session:
                     del table[session]
 
-    def _place(self, now):
-        if self.pending_assign:
+    def _assign_owners(self, now):
+        if self.assignment_pending:
             return
         tables = self.node.tables
         assignments = placement.plan_assignments(tables, self.node.placement)
-        if not assignments and now >= self.move_due_ms:
-            self.move_due_ms = now + MOVE_PERIOD_MS
-            assignments = self._plan_moves()
+        if not assignments and now >= self.next_rebalance_ms:
+            self.next_rebalance_ms = now + REBALANCE_PERIOD_MS
+            assignments = self._plan_rebalancing()
         if not assignments:
             return
-        self.pending_assign = True
+        self.assignment_pending = True
         deferred = self.node.propose(state_module.Assign(assignments))
-        deferred.addBoth(self._finish_assign)
+        deferred.addBoth(self._on_assigned)
 
-    def _plan_moves(self):
-        """Plan moves, unless nothing changed since there were none."""
+    def _plan_rebalancing(self):
+        """Plan moves, unless nothing changed since a plan without moves."""
         index = self.node.placement
-        if self.even_changes == (index, index.changes_seen):
+        if self.last_balanced == (index, index.change_count):
             return ()
         moves = placement.plan_moves(self.node.tables, index)
-        self.even_changes = None if moves else (index, index.changes_seen)
+        self.last_balanced = None if moves else (index, index.change_count)
         return moves
 
-    def _finish_assign(self, _):
-        self.pending_assign = False
+    def _on_assigned(self, _):
+        self.assignment_pending = False
 
-    def _propose_quietly(self, command):
+    def _propose_best_effort(self, command):
         self.node.propose(command).addErrback(lambda failure: None)
 
-    def renew(self, heartbeat: messages.Heartbeat):
-        """Answer a heartbeat of a registered session."""
+    def renew_session(self, heartbeat: messages.Heartbeat):
+        """Renew the lease of a session, and reply with changed rows.
+
+        The lease is 0 if the session has ended or the VM runs a newer
+        incarnation.
+        """
         if not self.node.is_leader():
             return messages.NotLeader(self.node.get_leader_vm())
         session = heartbeat.vm.session
         tables = self.node.tables
         lease_ms = 0
-        if session in tables.vm_by_session and not self._is_replaced(
-            heartbeat.vm
+        if (
+            session in tables.vm_by_session
+            and not self._has_newer_incarnation(heartbeat.vm)
         ):
             lease_ms = LEASE_MS
-            self.renewed_by_session[session] = self.read_clock()
+            self.last_renewal_ms_by_session[session] = self.read_clock()
         self.revision_by_session[session] = heartbeat.known_revision
         delta = self.node.feed.get_delta(tables, heartbeat.known_version)
         return messages.HeartbeatReply(lease_ms, delta)
 
-    def _is_replaced(self, vm):
+    def _has_newer_incarnation(self, vm):
         for other in self.node.tables.vm_by_session.values():
             if other.vm_id == vm.vm_id:
                 if other.incarnation > vm.incarnation:
@@ -146,12 +157,12 @@
         return False
 
     def build_status(self) -> dict:
-        """Return how the system stands, as the leader sees it."""
+        """Return sessions, endpoints and replication state for operators."""
         now = self.read_clock()
         tables = self.node.tables
         sessions = []
         for vm in tables.vm_by_session.values():
-            renewed = self.renewed_by_session.get(vm.session)
+            last_renewal_ms = self.last_renewal_ms_by_session.get(vm.session)
             sessions.append(
                 {
                     "session": vm.session,
@@ -160,7 +171,9 @@
                     "state": vm.state,
                     "revision": self.revision_by_session.get(vm.session),
                     "lease_age_ms": (
-                        round(now - renewed) if renewed else None
+                        round(now - last_renewal_ms)
+                        if last_renewal_ms
+                        else None
                     ),
                     "endpoints": len(
                         self.node.placement.ids_by_session.get(vm.session, ())
@@ -202,15 +215,17 @@
 
 @functools.singledispatch
 def handle_call(message, leader: Leader):
-    """Answer one call of an entry; returns a reply or a Deferred."""
-    raise TypeError(f"not a control call: {type(message).__name__}")
+    """Handle a call of an entry; returns a reply or a Deferred."""
+    raise TypeError(
+        f"unsupported call to the control leader: {type(message).__name__}"
+    )
 
 
 @handle_call.register
 def _handle_heartbeat(message: messages.Heartbeat, leader: Leader):
-    known = leader.node.tables.vm_by_session.get(message.vm.session)
+    registered_vm = leader.node.tables.vm_by_session.get(message.vm.session)
     commands = []
-    if known != message.vm:
+    if registered_vm != message.vm:
         commands.append(state_module.RegisterVm(message.vm))
     if message.reports:
         commands.append(
@@ -219,11 +234,11 @@
     if message.handovers:
         commands.append(state_module.EndHandovers(message.handovers))
     if not commands:
-        return leader.renew(message)
+        return leader.renew_session(message)
     for command in commands[:-1]:
-        leader._propose_quietly(command)
+        leader._propose_best_effort(command)
     deferred = leader.node.propose(commands[-1])
-    deferred.addCallback(lambda _: leader.renew(message))
+    deferred.addCallback(lambda _: leader.renew_session(message))
     return deferred
 
 
--- a/chervilspindle/control/membership.py
+++ b/chervilspindle/control/membership.py
@@ -1,34 +1,47 @@
-"""Keeps the configured number of voters without an operator's help.
+"""Plans membership changes that keep the configured number of voters.
 
 A VM that starts with an empty disk asks to join under a new member id and
-replicates as a learner. Once it has caught up, the leader removes the
-member that the same VM had before, whose disk is gone, and promotes the
-learner. Only one member changes at a time.
+replicates the log as a learner. Once the learner has caught up, the leader
+removes the VM's former member, whose disk is lost, and promotes the learner.
+Only one member changes at a time, and no operator has to act.
 """
 
 from chervilspindle.control import raft
 
-CAUGHT_UP_ENTRIES = 64
+MAX_LEARNER_LAG_ENTRIES = 64
 
 
 def get_vm_id(member_id: str) -> str:
-    """Return the VM of a member."""
+    """Return the VM id that a member id ``VM_ID#SUFFIX`` starts with."""
     return member_id.split("#", 1)[0]
 
 
 def plan_join(members, member_id: str, address: str):
-    """Return the members with a new learner, None if nothing changes."""
-    known = {m.member_id: m for m in members}
-    if member_id in known:
+    """Return the members after the next step of adding a learner.
+
+    Earlier learners of the same VM are removed first, in a step of their own.
+
+    Returns
+    -------
+    tuple of Member or None
+        None if `member_id` is a member already.
+    """
+    member_by_id = {m.member_id: m for m in members}
+    if member_id in member_by_id:
         return None
-    kept = tuple(m for m in members if not _is_stale_learner(m, member_id))
-    if len(kept) < len(members):
-        return kept
+    remaining = tuple(
+        m for m in members if not _is_stale_learner(m, member_id)
+    )
+    if len(remaining) < len(members):
+        return remaining
     return members + (raft.Member(member_id, address, False),)
 
 
 def plan_promotion(state: raft.RaftState, voter_target: int):
-    """Return the members after the next step towards the target.
+    """Return the members after the next step towards `voter_target` voters.
+
+    The step removes the former voter of a caught-up learner's VM, or promotes
+    a learner.
 
     Returns
     -------
@@ -39,13 +52,13 @@
         if member.voter or not _is_caught_up(state, member.member_id):
             continue
         vm_id = get_vm_id(member.member_id)
-        replaced = [
+        former_voters = [
             m
             for m in state.members
             if m.voter and get_vm_id(m.member_id) == vm_id
         ]
-        if replaced:
-            return tuple(m for m in state.members if m != replaced[0])
+        if former_voters:
+            return tuple(m for m in state.members if m != former_voters[0])
         if len(raft.list_voters(state)) < voter_target:
             promoted = member._replace(voter=True)
             return tuple(promoted if m == member else m for m in state.members)
@@ -53,14 +66,13 @@
 
 
 def plan_removal(
-    state: raft.RaftState, voter_target: int, now: float, silent_ms: float
+    state: raft.RaftState, voter_target: int, now: float, timeout_ms: float
 ):
-    """Return the members without a voter that a learner can replace.
+    """Return the members without a failed voter that a learner can replace.
 
-    A VM that is gone for good comes back under another name, so its place
-    among the voters is given up once another VM has caught up and the voter
-    has not answered for `silent_ms`. A replaced voter that is still alive
-    joins again as a learner.
+    The replacement of a lost VM has another name, so a voter is removed once
+    it has not answered for `timeout_ms` and a learner on another VM has
+    caught up. A removed voter that is still alive rejoins as a learner.
 
     Returns
     -------
@@ -69,21 +81,21 @@
     """
     if len(raft.list_voters(state)) < voter_target:
         return None
-    ready = [
+    replacements = [
         m
         for m in state.members
         if not m.voter
         and _is_caught_up(state, m.member_id)
-        and now - state.progress_by_id[m.member_id].acked_sent_ms < silent_ms
+        and now - state.progress_by_id[m.member_id].acked_sent_ms < timeout_ms
     ]
-    if not ready or now - state.elected_ms < silent_ms:
+    if not replacements or now - state.elected_ms < timeout_ms:
         return None
     for member in state.members:
         if not member.voter or member.member_id == state.member_id:
             continue
         progress = state.progress_by_id.get(member.member_id)
-        heard = progress.acked_sent_ms if progress else raft.NEVER_MS
-        if now - max(heard, state.elected_ms) > silent_ms:
+        last_acked_ms = progress.acked_sent_ms if progress else raft.NEVER_MS
+        if now - max(last_acked_ms, state.elected_ms) > timeout_ms:
             return tuple(m for m in state.members if m != member)
     return None
 
@@ -97,5 +109,5 @@
     progress = state.progress_by_id.get(member_id)
     if progress is None or progress.match_index == 0:
         return False
-    behind = raft.get_last_index(state) - progress.match_index
-    return behind <= CAUGHT_UP_ENTRIES
+    lag_entries = raft.get_last_index(state) - progress.match_index
+    return lag_entries <= MAX_LEARNER_LAG_ENTRIES
--- a/chervilspindle/control/placement.py
+++ b/chervilspindle/control/placement.py
@@ -1,10 +1,11 @@
 """Chooses the owner of each endpoint.
 
-An endpoint's owner sits in the endpoint's own availability zone, so that a
-lost zone takes owners and endpoints of the same replicas; where the zone has
-no VM, any other may own it. Owners of the replicas of one service sit on
-different VMs and, as far as possible, in different zones. Load is evened by
-counts of endpoints over the VMs that an endpoint may go to.
+An endpoint is owned by a VM of its own availability zone, so that the loss of
+a zone removes endpoints together with their owners and leaves replicas in
+other zones unaffected. If the zone has no VM, a VM of any zone may own it.
+The owners of a service's replicas are on different VMs and, as far as
+possible, in different zones. Load is the number of owned endpoints; it is
+balanced over the VMs that may own an endpoint.
 """
 
 import heapq
@@ -12,24 +13,25 @@
 
 from chervilspindle.control import state as state_module
 
-CANDIDATES = 16
-MAX_SPREAD = 1
-LEAST_MOVES = 4
-SESSIONS_PER_MOVE = 8
+MAX_CANDIDATES = 16
+MAX_LOAD_DIFFERENCE = 1
+MIN_CONCURRENT_MOVES = 4
+SESSIONS_PER_CONCURRENT_MOVE = 8
 
 
 class SessionLoad(typing.NamedTuple):
-    """How many endpoints a session owns."""
+    """Number of endpoints that a session owns."""
 
     count: int
     session: str
 
 
-class Pools:
-    """Sessions that take endpoints, by zone and all, least loaded first.
+class SessionPool:
+    """Sessions that may own endpoints, in heaps ordered by load.
 
-    Counts of the heaps may be out of date; they are put right when they
-    come up.
+    There is one heap for each availability zone and one for all sessions.
+    Counts in the heaps may be stale; an entry with a stale count is corrected
+    when it is popped.
     """
 
     def __init__(self, state, loads):
@@ -42,46 +44,50 @@
             self.heap_by_zone.setdefault(zone, []).append(load)
         for heap in self.heap_by_zone.values():
             heapq.heapify(heap)
-        self.heap = [SessionLoad(c, s) for s, c in loads.items()]
-        heapq.heapify(self.heap)
+        self.global_heap = [SessionLoad(c, s) for s, c in loads.items()]
+        heapq.heapify(self.global_heap)
 
     def has_zone(self, zone) -> bool:
-        """Tell whether a zone has sessions that take endpoints."""
+        """Tell whether a zone has sessions that may own endpoints."""
         return zone in self.heap_by_zone
 
-    def choose(self, zone, siblings) -> str:
+    def choose(self, zone, replica_owners) -> str:
         """Return the best session for an endpoint, '' if there is none.
 
         Parameters
         ----------
         zone : str
-            Of the endpoint.
-        siblings : list of str
-            Sessions that own its other replicas.
+            Zone of the endpoint.
+        replica_owners : list of str
+            Sessions that own the service's other replicas.
         """
-        home = self.heap_by_zone.get(zone)
-        if home:
-            best = self._take_best(home, siblings)
-            if best not in siblings:
+        local_heap = self.heap_by_zone.get(zone)
+        if local_heap:
+            best = self._find_best(local_heap, replica_owners)
+            if best not in replica_owners:
                 return best
-        return self._take_best(self.heap, siblings) if self.heap else ""
+        return (
+            self._find_best(self.global_heap, replica_owners)
+            if self.global_heap
+            else ""
+        )
 
-    def move(self, source, target):
-        """Count an endpoint from one session to another."""
+    def record_move(self, source, target):
+        """Update the loads for an endpoint that moves between sessions."""
         if source in self.loads:
             self.loads[source] -= 1
         self.loads[target] += 1
 
-    def list_least(self):
-        """Return the least load of each zone."""
+    def get_min_load_by_zone(self):
+        """Return the load of the least loaded session of each zone."""
         return {
             zone: min(self.loads[load.session] for load in heap)
             for zone, heap in self.heap_by_zone.items()
         }
 
-    def _take_best(self, heap, siblings):
+    def _find_best(self, heap, replica_owners):
         candidates = []
-        while heap and len(candidates) < CANDIDATES:
+        while heap and len(candidates) < MAX_CANDIDATES:
             load = heapq.heappop(heap)
             count = self.loads[load.session]
             if count == load.count:
@@ -92,45 +98,55 @@
             heapq.heappush(heap, load)
         zones = {
             self.state.vm_by_session[s].zone
-            for s in siblings
+            for s in replica_owners
             if s in self.state.vm_by_session
         }
 
         def rank(load):
             zone = self.state.vm_by_session[load.session].zone
-            return (load.session in siblings, zone in zones, load)
+            return (load.session in replica_owners, zone in zones, load)
 
         return min(candidates, key=rank).session
 
 
 class PlacementIndex:
-    """What placement needs to know, kept current row by row.
+    """Index of endpoints for placement, updated row by row.
+
+    A placement pass visits only endpoints that need an owner, so that its
+    cost depends on what changed and not on the size of the deployment.
 
-    A pass looks only at endpoints without a settled owner, so that its cost
-    follows what changed and not the size of the deployment. An endpoint is
-    moving while its owner before still has to hand it over, and foreign while
-    its owner sits in another zone.
+    Attributes
+    ----------
+    needs_owner_ids : set of str
+        Endpoints without an owner, or whose owner's session is not ready.
+        Lost endpoints and those in `handover_ids` are left out.
+    handover_ids : set of str
+        Endpoints that their previous owner still has to hand over.
+    cross_zone_ids : set of str
+        Endpoints whose owner is in another availability zone.
+    change_count : int
+        Number of relevant row changes so far.
     """
 
     def __init__(self, state):
-        self.ids_by_session = {vm: set() for vm in state.vm_by_session}
+        self.ids_by_session = {s: set() for s in state.vm_by_session}
         self.owner_by_id_by_service = {}
         self.service_by_id = {}
-        self.unsettled_ids = set()
-        self.moving_ids = set()
-        self.foreign_ids = set()
-        self.changes_seen = 0
+        self.needs_owner_ids = set()
+        self.handover_ids = set()
+        self.cross_zone_ids = set()
+        self.change_count = 0
         for endpoint_id in state.endpoint_by_id:
             self._refresh(state, endpoint_id)
 
     def update(self, state, changes):
-        """Take in the rows that a version touched."""
+        """Update the index for the rows that a version changed."""
         for change in changes:
             if change.kind in ("endpoint", "ownership"):
-                self.changes_seen += 1
+                self.change_count += 1
                 self._refresh(state, change.key)
             elif change.kind == "vm":
-                self.changes_seen += 1
+                self.change_count += 1
                 self._refresh_session(state, change.key)
 
     def count_loads(self, state):
@@ -141,7 +157,7 @@
             if state.vm_by_session[session].state == "ready"
         }
 
-    def list_siblings(self, endpoint_id):
+    def list_replica_owners(self, endpoint_id):
         """Return the sessions that own the other replicas of a service."""
         service = self.service_by_id[endpoint_id]
         owner_by_id = self.owner_by_id_by_service.get(service, {})
@@ -156,7 +172,7 @@
             self.ids_by_session.pop(session, None)
 
     def _refresh(self, state, endpoint_id):
-        self._forget(endpoint_id)
+        self._remove(endpoint_id)
         endpoint = state.endpoint_by_id.get(endpoint_id)
         if endpoint is None:
             return
@@ -170,19 +186,19 @@
             )
             owners[endpoint_id] = session
         if ownership is not None and ownership.previous:
-            self.moving_ids.add(endpoint_id)
+            self.handover_ids.add(endpoint_id)
             return
         vm = state.vm_by_session.get(session)
-        is_settled = vm is not None and vm.state == "ready"
-        if not is_settled and endpoint.state != "lost":
-            self.unsettled_ids.add(endpoint_id)
-        elif is_settled and vm.zone != endpoint.zone:
-            self.foreign_ids.add(endpoint_id)
-
-    def _forget(self, endpoint_id):
-        self.unsettled_ids.discard(endpoint_id)
-        self.moving_ids.discard(endpoint_id)
-        self.foreign_ids.discard(endpoint_id)
+        has_ready_owner = vm is not None and vm.state == "ready"
+        if not has_ready_owner and endpoint.state != "lost":
+            self.needs_owner_ids.add(endpoint_id)
+        elif has_ready_owner and vm.zone != endpoint.zone:
+            self.cross_zone_ids.add(endpoint_id)
+
+    def _remove(self, endpoint_id):
+        self.needs_owner_ids.discard(endpoint_id)
+        self.handover_ids.discard(endpoint_id)
+        self.cross_zone_ids.discard(endpoint_id)
         service = self.service_by_id.pop(endpoint_id, None)
         owners = self.owner_by_id_by_service.get(service, {})
         session = owners.pop(endpoint_id, None)
@@ -193,133 +209,147 @@
 
 
 def plan_assignments(state, index):
-    """Return the grants that endpoints without a lasting owner need now.
+    """Return assignments for all endpoints that need an owner.
 
     Parameters
     ----------
     state : ControlState
     index : PlacementIndex
-        Current for `state`.
+        Must be up to date with `state`.
 
     Returns
     -------
     tuple of Assignment
-        For endpoints without owner, and for those of sessions that drain.
+        For endpoints without an owner and for those of draining sessions.
     """
-    if not index.unsettled_ids:
+    if not index.needs_owner_ids:
         return ()
-    pools = Pools(state, index.count_loads(state))
-    granted_by_service = {}
-    grants = []
-    for endpoint_id in sorted(index.unsettled_ids):
-        granted = granted_by_service.setdefault(
+    pool = SessionPool(state, index.count_loads(state))
+    new_owners_by_service = {}
+    assignments = []
+    for endpoint_id in sorted(index.needs_owner_ids):
+        new_owners = new_owners_by_service.setdefault(
             index.service_by_id[endpoint_id], []
         )
-        siblings = index.list_siblings(endpoint_id) + granted
+        replica_owners = index.list_replica_owners(endpoint_id) + new_owners
         zone = state.endpoint_by_id[endpoint_id].zone
-        session = pools.choose(zone, siblings)
+        session = pool.choose(zone, replica_owners)
         if not session:
             break
-        granted.append(session)
-        pools.move("", session)
-        grants.append(_grant(state, endpoint_id, session))
-    return tuple(grants)
+        new_owners.append(session)
+        pool.record_move("", session)
+        assignments.append(_build_assignment(state, endpoint_id, session))
+    return tuple(assignments)
 
 
-def _grant(state, endpoint_id, session):
+def _build_assignment(state, endpoint_id, session):
     ownership = state.ownership_by_id.get(endpoint_id)
     epoch = ownership.epoch if ownership else 0
     return state_module.Assignment(endpoint_id, session, epoch)
 
 
 def plan_moves(state, index):
-    """Return grants that bring endpoints home and even out the load.
+    """Return assignments that improve the zones of owners and the balance.
 
-    They are some at a time. At most one endpoint of a service moves at once,
-    so that gatherers which have not heard of the new owner yet find another
-    replica.
+    The number of concurrent moves is limited. At most one endpoint of a
+    service moves at a time, so that a gatherer that does not know the new
+    owner yet can use another replica.
     """
     loads = index.count_loads(state)
-    if len(loads) < 2 or index.unsettled_ids:
+    if len(loads) < 2 or index.needs_owner_ids:
         return ()
-    room = max(LEAST_MOVES, len(loads) // SESSIONS_PER_MOVE)
-    room -= len(index.moving_ids)
-    plan = MovePlan(state, index, Pools(state, loads), room)
-    for endpoint_id in sorted(index.foreign_ids):
+    max_moves = max(
+        MIN_CONCURRENT_MOVES, len(loads) // SESSIONS_PER_CONCURRENT_MOVE
+    )
+    max_moves -= len(index.handover_ids)
+    plan = MovePlan(state, index, SessionPool(state, loads), max_moves)
+    for endpoint_id in sorted(index.cross_zone_ids):
         zone = state.endpoint_by_id[endpoint_id].zone
-        if plan.pools.has_zone(zone):
-            plan.consider(endpoint_id, True)
-    for endpoint_id in _list_movable(state, index, plan.pools):
-        plan.consider(endpoint_id, False)
+        if plan.pool.has_zone(zone):
+            plan.add_if_better(endpoint_id, True)
+    for endpoint_id in _list_movable(state, index, plan.pool):
+        plan.add_if_better(endpoint_id, False)
     return tuple(plan.moves)
 
 
-def _list_movable(state, index, pools):
-    """Return the endpoints that a fuller session could give away.
+def _list_movable(state, index, pool):
+    """Return the endpoints of sessions with more load than others.
 
-    Within a zone a session compares with the least loaded one there; foreign
-    endpoints may go anywhere, so for them it compares with all.
+    A session is compared with the least loaded one of its zone. Endpoints
+    that it owns across zones may move to any zone, so for these it is
+    compared with the least loaded session of all.
     """
-    least_by_zone = pools.list_least()
-    least = min(least_by_zone.values())
+    min_load_by_zone = pool.get_min_load_by_zone()
+    min_load = min(min_load_by_zone.values())
     movable = []
-    for session in sorted(pools.loads, key=lambda s: (-pools.loads[s], s)):
-        count = pools.loads[session]
-        if count - least <= MAX_SPREAD:
+    for session in sorted(pool.loads, key=lambda s: (-pool.loads[s], s)):
+        count = pool.loads[session]
+        if count - min_load <= MAX_LOAD_DIFFERENCE:
             break
         ids = index.ids_by_session[session]
         zone = state.vm_by_session[session].zone
-        if count - least_by_zone[zone] <= MAX_SPREAD:
-            ids = ids & index.foreign_ids
+        if count - min_load_by_zone[zone] <= MAX_LOAD_DIFFERENCE:
+            ids = ids & index.cross_zone_ids
         movable.extend(sorted(ids))
     return movable
 
 
 class MovePlan:
-    """Moves that are planned in one round, and the loads that they leave."""
+    """Moves planned in one round, and the loads that result from them."""
 
-    def __init__(self, state, index, pools, room):
+    def __init__(self, state, index, pool, max_moves):
         self.state = state
         self.index = index
-        self.pools = pools
-        self.room = room
+        self.pool = pool
+        self.max_moves = max_moves
         self.moves = []
-        self.services = {index.service_by_id[i] for i in index.moving_ids}
+        self.moving_services = {
+            index.service_by_id[i] for i in index.handover_ids
+        }
 
-    def consider(self, endpoint_id, goes_home: bool):
-        """Move an endpoint if that brings it home or evens out the load."""
-        if len(self.moves) >= self.room:
+    def add_if_better(self, endpoint_id, to_own_zone: bool):
+        """Plan to move an endpoint if its owner's zone or balance improves.
+
+        With `to_own_zone` the new owner has to be in the endpoint's zone;
+        otherwise the move has to reduce the difference in load.
+        """
+        if len(self.moves) >= self.max_moves:
             return
         service = self.index.service_by_id[endpoint_id]
-        if service in self.services:
+        if service in self.moving_services:
             return
         endpoint = self.state.endpoint_by_id[endpoint_id]
-        own = self.state.ownership_by_id[endpoint_id].session
-        siblings = self.index.list_siblings(endpoint_id)
-        target = self.pools.choose(endpoint.zone, siblings)
-        if not self._is_better(endpoint, own, target, siblings, goes_home):
+        owner = self.state.ownership_by_id[endpoint_id].session
+        replica_owners = self.index.list_replica_owners(endpoint_id)
+        target = self.pool.choose(endpoint.zone, replica_owners)
+        if not self._is_better(
+            endpoint, owner, target, replica_owners, to_own_zone
+        ):
             return
-        if not _is_covered(self.state, self.index, endpoint_id):
+        if not _has_ready_replica(self.state, self.index, endpoint_id):
             return
-        self.pools.move(own, target)
-        self.services.add(service)
-        self.moves.append(_grant(self.state, endpoint_id, target))
+        self.pool.record_move(owner, target)
+        self.moving_services.add(service)
+        self.moves.append(_build_assignment(self.state, endpoint_id, target))
 
-    def _is_better(self, endpoint, own, target, siblings, goes_home):
-        if target in ("", own, *siblings):
+    def _is_better(self, endpoint, owner, target, replica_owners, to_own_zone):
+        if target in ("", owner, *replica_owners):
             return False
         zone = self.state.vm_by_session[target].zone
-        own_zone = self.state.vm_by_session[own].zone
-        if goes_home:
+        owner_zone = self.state.vm_by_session[owner].zone
+        if to_own_zone:
             return zone == endpoint.zone
-        if own_zone == endpoint.zone != zone:
+        if owner_zone == endpoint.zone != zone:
             return False
-        spread = self.pools.loads[own] - self.pools.loads[target]
-        return spread > MAX_SPREAD
+        difference = self.pool.loads[owner] - self.pool.loads[target]
+        return difference > MAX_LOAD_DIFFERENCE
 
 
-def _is_covered(state, index, endpoint_id):
-    """Tell whether another replica serves while an endpoint is moved."""
+def _has_ready_replica(state, index, endpoint_id):
+    """Tell whether another replica can serve while an endpoint is moved.
+
+    It has to be owned and ready, and to hold all that the endpoint holds.
+    """
     endpoint = state.endpoint_by_id[endpoint_id]
     for other_id in index.owner_by_id_by_service[endpoint.service]:
         other = state.endpoint_by_id[other_id]
--- a/chervilspindle/control/state_test.py
+++ b/chervilspindle/control/state_test.py
@@ -240,7 +240,7 @@
     state = place(build_tables(vms=2, services=12))
     state, _ = apply_all(state, state_module.RegisterVm(build_vm(9)))
     moves = placement.plan_moves(state, placement.PlacementIndex(state))
-    assert 0 < len(moves) <= placement.LEAST_MOVES
+    assert 0 < len(moves) <= placement.MIN_CONCURRENT_MOVES
     services = [m.endpoint_id.split(".")[0] for m in moves]
     assert len(set(services)) == len(services)
 
@@ -294,7 +294,7 @@
         return state_module.Assign(placement.plan_moves(state, index))
     moving = tuple(
         state_module.Handover(i, state.ownership_by_id[i].epoch)
-        for i in sorted(index.moving_ids)
+        for i in sorted(index.handover_ids)
     )
     return state_module.EndHandovers(moving)
 
@@ -316,9 +316,9 @@
         index.update(state, outcome.changes)
         feed.record(state.version, outcome.changes)
     fresh = placement.PlacementIndex(state)
-    assert index.unsettled_ids == fresh.unsettled_ids
-    assert index.moving_ids == fresh.moving_ids
-    assert index.foreign_ids == fresh.foreign_ids
+    assert index.needs_owner_ids == fresh.needs_owner_ids
+    assert index.handover_ids == fresh.handover_ids
+    assert index.cross_zone_ids == fresh.cross_zone_ids
     assert index.ids_by_session == fresh.ids_by_session
     assert index.owner_by_id_by_service == fresh.owner_by_id_by_service
     first = state.version - len(history)
@@ -361,9 +361,9 @@
         sessions_by_zone.setdefault(vm.zone, set()).add(vm.session)
     for endpoint in state.endpoint_by_id.values():
         local = sessions_by_zone.get(endpoint.zone, set())
-        siblings = set(index.list_siblings(endpoint.endpoint_id))
+        replica_owners = set(index.list_replica_owners(endpoint.endpoint_id))
         row = state.ownership_by_id[endpoint.endpoint_id]
-        assert row.session in local or not local - siblings, row
+        assert row.session in local or not local - replica_owners, row
     loads = index.count_loads(state)
     for sessions in sessions_by_zone.values():
         counts = [loads[s] for s in sessions]
