--- a/chervilspindle/control/__init__.py
+++ b/chervilspindle/control/__init__.py
@@ -1,1 +1,1 @@
-"""Replicated control state: log, election, leases, claims, placement."""
+"""Control plane: replicated log and state, leases, claims and placement."""
--- a/chervilspindle/control/frontend.py
+++ b/chervilspindle/control/frontend.py
@@ -1,10 +1,10 @@
-"""What any control member does for callers of control, leader or not.
+"""Serves endpoints, operators and entry processes at any control member.
 
-Announcements of endpoints and documents of operators go through the leader
-and are acknowledged once they are committed. An announcement that tells
-nothing new is acknowledged by the member itself. Members tell the leader
-every so often which endpoints they heard, so that it notices those that
-fell silent.
+Announcements of endpoints and routing documents of operators are forwarded to
+the leader and acknowledged once they are committed. A member acknowledges an
+announcement without changes by itself. Members periodically report to the
+leader which endpoints announced themselves, so that the leader can mark
+endpoints as lost that no member has heard from.
 """
 
 import functools
@@ -22,24 +22,27 @@
 
 LOGGER = logging.getLogger(__name__)
 
-LEADER_CALL_S = 0.9  # callers wait for a second
-REPORT_S = 0.5
-SILENT_AFTER_MS = 10000.0  # several announcements, late ones included
-LEAST_HEARD_SHARE = 0.5  # with fewer, the leader itself may be cut off
-WATCHER_MEMORY_MS = 2500.0
-MEMBER_MEMORY_MS = 5000.0
-COUNT_AFTER_MS = 3000.0  # all members have reported to a new leader
-# Most have by then. A list that lacks some relays serves queries; a count
-# that lacks some VMs would let the others overdraw what they share.
-RELAYS_AFTER_MS = 1000.0
-# Bounds what lists of relays weigh in large deployments; a query needs a few
-# for each of its groups.
-RELAYS_PER_ZONE = 48
-NO_RELAYS = messages.RelayList(0, ())
+LEADER_CALL_TIMEOUT_S = 0.9  # below the callers' timeout of 1 s
+REPORT_PERIOD_S = 0.5
+ENDPOINT_TIMEOUT_MS = 10000.0  # several announcements, late ones included
+# If a smaller share of the endpoints announces itself, the leader itself may
+# be cut off, so it records none as lost.
+MIN_ANNOUNCED_SHARE = 0.5
+WATCHER_TIMEOUT_MS = 2500.0
+MEMBER_REPORT_TIMEOUT_MS = 5000.0
+COUNT_DELAY_MS = 3000.0  # all members have reported to a new leader by then
+# Most members have reported to a new leader by then. A partial list of relays
+# still serves queries, whereas a count that lacks some VMs would let the
+# others exceed the limits that all VMs share.
+RELAY_LIST_DELAY_MS = 1000.0
+# Limits the size of relay lists in large deployments; a query needs only a
+# few relays for each of its shard groups.
+MAX_RELAYS_PER_ZONE = 48
+EMPTY_RELAY_LIST = messages.RelayList(0, ())
 
 
 class ControlFrontend:
-    """Serves endpoints, operators and watching entries at one member.
+    """Handles calls of endpoints, operators and watching entries.
 
     Parameters
     ----------
@@ -54,45 +57,57 @@
         self.node = node
         self.network = network
         self.read_clock = read_clock
-        self.heard = set()
-        # Rows (time, call) of entries.
-        self.seen_by_watcher = {}
+        # Endpoints that announced themselves here since the last report.
+        self.announced_ids = set()
+        # Time and WatchCall of the latest call by VM id of the entry.
+        self.last_watch_by_vm = {}
         self.totals = messages.MemberReportReply(0, 0)
-        self.relay_list = NO_RELAYS
-        # As the leader: rows (report, time) by member, times by endpoint.
-        self.count_by_member = {}
-        self.heard_ms_by_id = {}
-        self.led_since_ms = math.inf
-        node.leader_listeners.append(self._start_term)
-        timers.subscribe("desk-report", REPORT_S, self._report)
+        self.relay_list = EMPTY_RELAY_LIST
+        # Used by the leader only: latest MemberReport and its time by member,
+        # and time of the latest announcement by endpoint.
+        self.last_report_by_member = {}
+        self.last_announced_ms_by_id = {}
+        self.elected_ms = math.inf
+        node.leader_listeners.append(self._on_elected)
+        timers.subscribe("member-report", REPORT_PERIOD_S, self._send_report)
 
     def announce(self, endpoint: rows.Endpoint) -> defer.Deferred:
-        """Take in what an endpoint says of itself.
+        """Record the announcement of an endpoint.
 
         Returns
         -------
         Deferred
-            Fires with None once it is recorded for good, or was already.
+            Fires with None once the announcement is committed, or at once if
+            it is outdated or changes nothing.
         """
-        known = self.node.tables.endpoint_by_id.get(endpoint.endpoint_id)
-        self.heard.add(endpoint.endpoint_id)
-        if known is not None:
-            if not rows.is_newer(endpoint, known):
+        stored = self.node.tables.endpoint_by_id.get(endpoint.endpoint_id)
+        self.announced_ids.add(endpoint.endpoint_id)
+        if stored is not None:
+            if not rows.is_newer(endpoint, stored):
                 return defer.succeed(None)
-            if not rows.is_changed(endpoint, known):
+            if not rows.is_changed(endpoint, stored):
                 return defer.succeed(None)
         return self.call_leader(messages.AnnounceCall(endpoint))
 
     def withdraw(self, endpoint_id: str) -> defer.Deferred:
-        """Record that an endpoint takes no more work, for good."""
-        known = self.node.tables.endpoint_by_id.get(endpoint_id)
-        if known is None or known.state == "gone":
+        """Record that an endpoint has left and accepts no more work.
+
+        Only a new incarnation of the endpoint can announce itself again.
+
+        Returns
+        -------
+        Deferred
+            Fires once the change is committed, or at once if the endpoint is
+            unknown or has left already.
+        """
+        stored = self.node.tables.endpoint_by_id.get(endpoint_id)
+        if stored is None or stored.state == "gone":
             return defer.succeed(None)
-        gone = known._replace(state="gone", sequence=rows.FINAL_SEQUENCE)
-        return self.call_leader(messages.AnnounceCall(gone))
+        withdrawn = stored._replace(state="gone", sequence=rows.FINAL_SEQUENCE)
+        return self.call_leader(messages.AnnounceCall(withdrawn))
 
     def apply_document(self, document: rows.StoredDocument):
-        """Put a checked document in force.
+        """Store a validated routing document.
 
         Returns
         -------
@@ -102,55 +117,55 @@
         return self.call_leader(messages.DocumentCall(document))
 
     def read_document(self):
-        """Ask for the newest document.
+        """Read the latest routing document from the leader.
 
         Returns
         -------
         Deferred
-            Fires with the `StoredDocument`; fails if no member can be sure.
+            Fires with the `StoredDocument`; fails if no leader answers.
         """
         deferred = self.call_leader(messages.ReadDocumentCall())
         return deferred.addCallback(lambda reply: reply.document)
 
     def call_leader(self, message) -> defer.Deferred:
-        """Ask the leader, which may be this member."""
+        """Send a call to the leader, which may be this member."""
         if self.node.is_leader():
-            return defer.maybeDeferred(answer_call, message, self)
+            return defer.maybeDeferred(handle_leader_call, message, self)
         address = self.node.find_leader_address()
         if address is None or address == self.node.address:
             return defer.fail(self.node.build_no_leader())
-        deferred = self.network.call(address, message, LEADER_CALL_S)
+        deferred = self.network.call(address, message, LEADER_CALL_TIMEOUT_S)
         return deferred.addCallback(self._check_reply)
 
     def answer(self, message):
-        """Answer a call of another member."""
+        """Answer a call of another member; if not the leader, name its VM."""
         if not self.node.is_leader():
             return messages.NotLeader(self.node.get_leader_vm())
-        return answer_call(message, self)
+        return handle_leader_call(message, self)
 
-    def note_watcher(self, call: messages.WatchCall):
-        """Take in that an entry watches this member."""
-        self.seen_by_watcher[call.vm_id] = (self.read_clock(), call)
+    def record_watcher(self, call: messages.WatchCall):
+        """Record that an entry watches this member."""
+        self.last_watch_by_vm[call.vm_id] = (self.read_clock(), call)
 
     def _check_reply(self, reply):
         if isinstance(reply, messages.NotLeader):
             raise self.node.build_no_leader()
         return reply
 
-    def _start_term(self):
+    def _on_elected(self):
         now = self.read_clock()
-        self.led_since_ms = now
-        self.count_by_member = {}
-        self.heard_ms_by_id = {}
+        self.elected_ms = now
+        self.last_report_by_member = {}
+        self.last_announced_ms_by_id = {}
 
-    def _report(self):
+    def _send_report(self):
         now = self.read_clock()
-        for vm_id, (seen, _) in list(self.seen_by_watcher.items()):
-            if now - seen > WATCHER_MEMORY_MS:
-                del self.seen_by_watcher[vm_id]
-        heard, self.heard = self.heard, set()
-        calls = [call for _, call in self.seen_by_watcher.values()]
-        found = [
+        for vm_id, (called_ms, _) in list(self.last_watch_by_vm.items()):
+            if now - called_ms > WATCHER_TIMEOUT_MS:
+                del self.last_watch_by_vm[vm_id]
+        announced_ids, self.announced_ids = self.announced_ids, set()
+        calls = [call for _, call in self.last_watch_by_vm.values()]
+        relays = [
             messages.Relay(c.vm_id, c.zone, c.relay_address)
             for c in calls
             if c.relay_address
@@ -159,121 +174,133 @@
             self.node.identity.member_id,
             len(calls),
             sum(c.requests for c in calls),
-            tuple(heard),
-            select_relays(found),
+            tuple(announced_ids),
+            select_relays(relays),
             self.relay_list.mark,
         )
         deferred = self.call_leader(report)
         deferred.addCallbacks(
-            self._take_count, self._report_failed, (), {}, (heard,)
+            self._on_report_reply,
+            self._on_report_failed,
+            (),
+            {},
+            (announced_ids,),
         )
         if self.node.is_leader():
-            self._expire(now)
+            self._expire_endpoints(now)
 
-    def _take_count(self, reply):
+    def _on_report_reply(self, reply):
         self.totals = reply
         if reply.relays is not None:
             self.relay_list = reply.relays
 
-    def _report_failed(self, failure, heard):
+    def _on_report_failed(self, failure, announced_ids):
         failure.trap(errors.ProblemError)
         self.totals = messages.MemberReportReply(0, 0)
-        # They are told with the next report, to the next leader.
-        self.heard.update(heard)
+        # Included in the next report, which may go to another leader.
+        self.announced_ids.update(announced_ids)
 
-    def take_report(self, report: messages.MemberReport):
-        """As the leader, take in a member's report."""
+    def handle_report(self, report: messages.MemberReport):
+        """As the leader, record a member's report and reply with totals."""
         now = self.read_clock()
-        self.count_by_member[report.member_id] = (report, now)
+        self.last_report_by_member[report.member_id] = (report, now)
         for endpoint_id in report.heard:
-            self.heard_ms_by_id[endpoint_id] = now
-        led_ms = now - self.led_since_ms
-        if led_ms < RELAYS_AFTER_MS:
+            self.last_announced_ms_by_id[endpoint_id] = now
+        elected_for_ms = now - self.elected_ms
+        if elected_for_ms < RELAY_LIST_DELAY_MS:
             return messages.MemberReportReply(0, 0)
-        fresh = [
-            found
-            for found, seen in self.count_by_member.values()
-            if now - seen < MEMBER_MEMORY_MS
+        recent = [
+            latest
+            for latest, received_ms in self.last_report_by_member.values()
+            if now - received_ms < MEMBER_REPORT_TIMEOUT_MS
         ]
-        found = build_relay_list([r for f in fresh for r in f.relays])
-        counted = fresh if led_ms >= COUNT_AFTER_MS else ()
+        relay_list = build_relay_list([r for m in recent for r in m.relays])
+        counted = recent if elected_for_ms >= COUNT_DELAY_MS else ()
         return messages.MemberReportReply(
             sum(r.watchers for r in counted),
             sum(r.requests for r in counted),
-            None if found.mark == report.known_relays else found,
+            None if relay_list.mark == report.known_relays else relay_list,
         )
 
-    def _expire(self, now):
-        """Record endpoints as lost that no member has heard for long."""
-        limit = now - SILENT_AFTER_MS
+    def _expire_endpoints(self, now):
+        """Record endpoints as lost that have not announced themselves."""
+        announced_after_ms = now - ENDPOINT_TIMEOUT_MS
         usable = [
             e
             for e in self.node.tables.endpoint_by_id.values()
             if e.state not in ("lost", "gone")
         ]
-        silent = []
+        timed_out = []
         for endpoint in usable:
-            heard = self.heard_ms_by_id.setdefault(endpoint.endpoint_id, now)
-            if heard < limit:
-                silent.append(endpoint)
-        if len(silent) > len(usable) * (1.0 - LEAST_HEARD_SHARE):
+            announced_ms = self.last_announced_ms_by_id.setdefault(
+                endpoint.endpoint_id, now
+            )
+            if announced_ms < announced_after_ms:
+                timed_out.append(endpoint)
+        if len(timed_out) > len(usable) * (1.0 - MIN_ANNOUNCED_SHARE):
             return
-        if not silent:
+        if not timed_out:
             return
-        for endpoint in silent:
+        for endpoint in timed_out:
             logs.log_decision(
                 "endpoint-silent",
                 endpoint=endpoint.endpoint_id,
                 service=endpoint.service,
                 silent_ms=round(
-                    now - self.heard_ms_by_id[endpoint.endpoint_id]
+                    now - self.last_announced_ms_by_id[endpoint.endpoint_id]
                 ),
             )
         lost = tuple(
-            e._replace(state="lost", sequence=e.sequence + 1) for e in silent
+            e._replace(state="lost", sequence=e.sequence + 1)
+            for e in timed_out
         )
         command = state_module.ReportEndpoints(lost, logs.read_wall_ms())
-        self.node.propose(command).addErrback(_log_unless_problem)
+        self.node.propose(command).addErrback(_log_problem)
 
 
 def select_relays(relays) -> tuple[messages.Relay, ...]:
-    """Return each relay once, and so many of a zone at most.
+    """Return each relay once, at most `MAX_RELAYS_PER_ZONE` of each zone.
 
-    Which of them stay depends on each relay by itself, so that one that
-    comes or goes moves no other.
+    Relays are ranked by a hash of their VM id, so that a relay that is added
+    or removed changes at most one other place in its zone.
     """
     relay_by_id = {r.vm_id: r for r in relays}
     ranked = sorted(
         relay_by_id.values(), key=lambda r: zlib.crc32(r.vm_id.encode())
     )
-    found = []
+    selected = []
     count_by_zone = {}
     for relay in ranked:
         count = count_by_zone.get(relay.zone, 0)
-        if count < RELAYS_PER_ZONE:
-            found.append(relay)
+        if count < MAX_RELAYS_PER_ZONE:
+            selected.append(relay)
             count_by_zone[relay.zone] = count + 1
-    return tuple(found)
+    return tuple(selected)
 
 
 def build_relay_list(relays) -> messages.RelayList:
-    """Return the list of relays and its mark, which is never 0."""
-    found = select_relays(relays)
-    text = " ".join("/".join(relay) for relay in found)
-    return messages.RelayList(zlib.crc32(text.encode()) or 1, found)
+    """Return the list of relays with its fingerprint, which is never 0.
+
+    A fingerprint of 0 stands for no list.
+    """
+    selected = select_relays(relays)
+    text = " ".join("/".join(relay) for relay in selected)
+    return messages.RelayList(zlib.crc32(text.encode()) or 1, selected)
 
 
 @functools.singledispatch
-def answer_call(message, frontend: ControlFrontend):
-    """As the leader, answer one call of a member."""
-    raise TypeError(f"not a call of the desk: {type(message).__name__}")
+def handle_leader_call(message, frontend: ControlFrontend):
+    """As the leader, handle a call of a member."""
+    raise TypeError(
+        f"unsupported call to the control leader: {type(message).__name__}"
+    )
 
 
-@answer_call.register
-def _answer_announce(
+@handle_leader_call.register
+def _handle_announce(
     message: messages.AnnounceCall, frontend: ControlFrontend
 ):
-    frontend.heard_ms_by_id[message.endpoint.endpoint_id] = (
+    frontend.last_announced_ms_by_id[message.endpoint.endpoint_id] = (
         frontend.read_clock()
     )
     command = state_module.ReportEndpoints(
@@ -292,8 +319,8 @@
     return deferred.addCallback(lambda _: messages.Done())
 
 
-@answer_call.register
-def _answer_document(
+@handle_leader_call.register
+def _handle_document(
     message: messages.DocumentCall, frontend: ControlFrontend
 ):
     deferred = frontend.node.propose(
@@ -304,18 +331,21 @@
     )
 
 
-@answer_call.register
-def _answer_read(
+@handle_leader_call.register
+def _handle_read(
     message: messages.ReadDocumentCall, frontend: ControlFrontend
 ):
     return messages.ReadDocumentReply(frontend.node.tables.document)
 
 
-@answer_call.register
-def _answer_report(message: messages.MemberReport, frontend: ControlFrontend):
-    return frontend.take_report(message)
+@handle_leader_call.register
+def _handle_report(message: messages.MemberReport, frontend: ControlFrontend):
+    return frontend.handle_report(message)
 
 
-def _log_unless_problem(failure):
+def _log_problem(failure):
     failure.trap(errors.ProblemError)
-    LOGGER.warning("endpoints not recorded", extra={"why": str(failure.value)})
+    LOGGER.warning(
+        "lost endpoints could not be committed",
+        extra={"why": str(failure.value)},
+    )
--- a/chervilspindle/control/frontend_test.py
+++ b/chervilspindle/control/frontend_test.py
@@ -1,4 +1,4 @@
-"""Tests of control members towards endpoints, operators and watchers."""
+"""Tests of the control front end, watch calls and voter replacement."""
 
 import pytest
 from twisted.internet import defer
@@ -18,7 +18,7 @@
 
 
 class FakeNode:
-    """A leader that commits at once, or a member without a leader."""
+    """A leader that commits immediately, or a member without a leader."""
 
     def __init__(self):
         self.tables = state_module.EMPTY_STATE
@@ -65,7 +65,7 @@
 
 
 @pytest.fixture
-def parts():
+def control():
     clock = task.Clock()
     node = FakeNode()
     node.identity = Identity()
@@ -88,23 +88,23 @@
     return row._replace(**fields)
 
 
-def test_what_tells_nothing_new_is_not_committed_again(parts):
-    _, node, frontend, _ = parts
+def test_unchanged_announcement_is_not_committed(control):
+    _, node, frontend, _ = control
     frontend.announce(build_endpoint(1))
     frontend.announce(build_endpoint(2))
     assert len(node.proposed) == 1
 
 
-def test_a_late_announcement_does_not_undo_draining(parts):
-    _, node, frontend, _ = parts
+def test_out_of_order_announcement_does_not_undo_draining(control):
+    _, node, frontend, _ = control
     frontend.announce(build_endpoint(1))
     frontend.announce(build_endpoint(5, state="draining"))
     frontend.announce(build_endpoint(4))
     assert node.tables.endpoint_by_id["i-1"].state == "draining"
 
 
-def test_nothing_revives_an_endpoint_that_left_but_a_new_start(parts):
-    _, node, frontend, _ = parts
+def test_withdrawn_endpoint_returns_only_with_a_new_incarnation(control):
+    _, node, frontend, _ = control
     frontend.announce(build_endpoint(1))
     frontend.withdraw("i-1")
     frontend.announce(build_endpoint(9))
@@ -113,8 +113,8 @@
     assert node.tables.endpoint_by_id["i-1"].state == "ready"
 
 
-def test_news_without_a_leader_are_not_acknowledged(parts):
-    _, node, frontend, _ = parts
+def test_calls_without_a_leader_fail(control):
+    _, node, frontend, _ = control
     node.leads = False
     failures = []
     frontend.announce(build_endpoint()).addErrback(failures.append)
@@ -124,26 +124,26 @@
     ] * 2
 
 
-def test_the_highest_document_stays_and_older_ones_are_acknowledged(parts):
-    _, node, frontend, _ = parts
+def test_older_document_is_acknowledged_but_not_stored(control):
+    _, node, frontend, _ = control
     replies = []
     for version, data in ((4, b"four"), (2, b"two"), (4, b"other")):
         stored = rows.StoredDocument(version, data)
         frontend.apply_document(stored).addCallback(replies.append)
     assert [r.held_version for r in replies] == [4, 4, 4]
     assert node.tables.document == rows.StoredDocument(4, b"four")
-    image = state_module.encode_snapshot(node.tables)
-    assert state_module.decode_snapshot(image).document.data == b"four"
+    snapshot = state_module.encode_snapshot(node.tables)
+    assert state_module.decode_snapshot(snapshot).document.data == b"four"
 
 
-def test_silent_endpoints_are_lost_and_come_back_when_heard(parts):
-    clock, node, frontend, _ = parts
+def test_silent_endpoint_is_lost_until_it_announces_itself(control):
+    clock, node, frontend, _ = control
     for number in range(4):
         frontend.announce(build_endpoint(endpoint_id=f"i-{number}"))
-    for beat in range(2, 32):
+    for sequence in range(2, 32):
         clock.advance(0.5)
         for number in range(1, 4):
-            row = build_endpoint(beat, endpoint_id=f"i-{number}")
+            row = build_endpoint(sequence, endpoint_id=f"i-{number}")
             frontend.announce(row)
     states = {
         e.endpoint_id: e.state for e in node.tables.endpoint_by_id.values()
@@ -153,99 +153,105 @@
     assert node.tables.endpoint_by_id["i-0"].state == "ready"
 
 
-def test_a_leader_that_hears_nobody_drops_nobody(parts):
-    clock, node, frontend, _ = parts
+def test_no_endpoint_is_lost_if_none_announces_itself(control):
+    clock, node, frontend, _ = control
     for number in range(4):
         frontend.announce(build_endpoint(endpoint_id=f"i-{number}"))
     clock.pump([0.5] * 60)
     assert {e.state for e in node.tables.endpoint_by_id.values()} == {"ready"}
 
 
-def test_watchers_of_all_members_are_counted(parts):
-    clock, _, frontend, _ = parts
-    clock.advance(frontend_module.COUNT_AFTER_MS / 1000.0 - 0.1)
-    frontend.take_report(messages.MemberReport("vm-2#b", 4, 40, ()))
-    reply = frontend.take_report(messages.MemberReport("vm-3#c", 5, 50, ()))
+def test_watchers_and_requests_of_all_members_are_summed(control):
+    clock, _, frontend, _ = control
+    clock.advance(frontend_module.COUNT_DELAY_MS / 1000.0 - 0.1)
+    frontend.handle_report(messages.MemberReport("vm-2#b", 4, 40, ()))
+    reply = frontend.handle_report(messages.MemberReport("vm-3#c", 5, 50, ()))
     assert reply.watchers == 0
     clock.advance(0.2)
-    reply = frontend.take_report(messages.MemberReport("vm-3#c", 6, 60, ()))
+    reply = frontend.handle_report(messages.MemberReport("vm-3#c", 6, 60, ()))
     assert (reply.watchers, reply.requests) == (10, 100)
 
 
-def test_entries_learn_of_relays_when_their_list_changes(parts):
-    clock, _, frontend, watch = parts
+def test_relay_list_is_sent_only_when_it_changed(control):
+    clock, _, frontend, watch = control
     far = messages.Relay("entry-9", "b", "10.0.0.9:1")
-    clock.advance(frontend_module.COUNT_AFTER_MS / 1000.0)
+    clock.advance(frontend_module.COUNT_DELAY_MS / 1000.0)
     call = messages.WatchCall("entry-1", 0, 0, "a", "10.0.0.1:1")
-    frontend.note_watcher(call)
-    frontend.take_report(messages.MemberReport("vm-2#b", 1, 0, (), (far,), 0))
-    clock.advance(frontend_module.REPORT_S)
+    frontend.record_watcher(call)
+    frontend.handle_report(
+        messages.MemberReport("vm-2#b", 1, 0, (), (far,), 0)
+    )
+    clock.advance(frontend_module.REPORT_PERIOD_S)
     reply = watch._build_reply(call)
     near = messages.Relay("entry-1", "a", "10.0.0.1:1")
     assert set(reply.relays.relays) == {near, far}
-    known = call._replace(known_relays=reply.relays.mark)
-    assert watch._build_reply(known).relays is None
-    frontend.note_watcher(known._replace(relay_address=""))
-    clock.advance(frontend_module.REPORT_S)
-    assert watch._build_reply(known).relays.relays == (far,)
+    next_call = call._replace(known_relays=reply.relays.mark)
+    assert watch._build_reply(next_call).relays is None
+    frontend.record_watcher(next_call._replace(relay_address=""))
+    clock.advance(frontend_module.REPORT_PERIOD_S)
+    assert watch._build_reply(next_call).relays.relays == (far,)
 
 
-def test_relays_are_known_before_all_is_counted(parts):
-    clock, _, frontend, watch = parts
+def test_relay_list_is_available_before_the_totals(control):
+    clock, _, frontend, watch = control
     far = messages.Relay("entry-9", "b", "10.0.0.9:1")
-    frontend.take_report(messages.MemberReport("vm-2#b", 1, 9, (), (far,), 0))
-    clock.advance(frontend_module.RELAYS_AFTER_MS / 1000.0 - 0.1)
+    frontend.handle_report(
+        messages.MemberReport("vm-2#b", 1, 9, (), (far,), 0)
+    )
+    clock.advance(frontend_module.RELAY_LIST_DELAY_MS / 1000.0 - 0.1)
     assert (
         watch._build_reply(messages.WatchCall("entry-1", 0, 0)).relays is None
     )
-    clock.advance(0.1 + frontend_module.REPORT_S)
+    clock.advance(0.1 + frontend_module.REPORT_PERIOD_S)
     reply = watch._build_reply(messages.WatchCall("entry-1", 0, 0))
     assert reply.relays.relays == (far,)
     assert (reply.watchers, reply.requests) == (0, 0)
 
 
-def test_a_list_of_relays_is_bounded_for_each_zone_and_stable():
+def test_relay_list_is_limited_per_zone_and_stable():
     relays = [
         messages.Relay(f"entry-{i}", "ab"[i % 2], "x") for i in range(3900)
     ]
-    found = frontend_module.select_relays(relays)
-    assert len(found) == 2 * frontend_module.RELAYS_PER_ZONE
-    fewer = frontend_module.select_relays([r for r in relays if r != found[0]])
-    assert len(set(fewer) - set(found)) == 1
+    selected = frontend_module.select_relays(relays)
+    assert len(selected) == 2 * frontend_module.MAX_RELAYS_PER_ZONE
+    without_first = frontend_module.select_relays(
+        [r for r in relays if r != selected[0]]
+    )
+    assert len(set(without_first) - set(selected)) == 1
 
 
-def test_a_watch_is_answered_by_a_change_or_after_a_while(parts):
-    clock, _, frontend, watch = parts
+def test_watch_call_is_answered_on_a_change_or_after_the_idle_time(control):
+    clock, _, frontend, watch = control
     replies = []
     watch.watch(messages.WatchCall("entry-1", 0, 0)).addCallback(
         replies.append
     )
     frontend.announce(build_endpoint())
-    clock.advance(watch_module.GATHER_S)
+    clock.advance(watch_module.BATCH_DELAY_S)
     delta = messages.decode_delta(replies[0].delta)
     assert [e.endpoint_id for e in delta.endpoints] == ["i-1"]
-    again = watch.watch(messages.WatchCall("entry-1", delta.version, 0))
-    again.addCallback(replies.append)
+    idle = watch.watch(messages.WatchCall("entry-1", delta.version, 0))
+    idle.addCallback(replies.append)
     clock.pump([0.1] * 9)
     assert messages.decode_delta(replies[1].delta).endpoints == ()
 
 
-def test_a_storm_of_changes_reaches_an_entry_as_few(parts):
-    clock, node, frontend, watch = parts
+def test_many_changes_are_batched_into_few_replies(control):
+    clock, node, frontend, watch = control
     replies = []
 
-    def ask(known):
-        asked = defer.maybeDeferred(
-            watch.watch, messages.WatchCall("entry-1", known, 0)
+    def call(version):
+        deferred = defer.maybeDeferred(
+            watch.watch, messages.WatchCall("entry-1", version, 0)
         )
-        asked.addCallback(take)
+        deferred.addCallback(on_reply)
 
-    def take(reply):
+    def on_reply(reply):
         replies.append(messages.decode_delta(reply.delta))
-        ask(replies[-1].version)
+        call(replies[-1].version)
 
     frontend.announce(build_endpoint())
-    ask(0)
+    call(0)
     for version in range(1, 26):
         stored = rows.StoredDocument(version, b"route " * 10000)
         frontend.apply_document(stored)
@@ -254,12 +260,12 @@
     assert replies[-1].version == node.tables.version
     sent = [r.document for r in replies if r.document is not None]
     assert sent[-1].version == 25
-    assert len(sent) <= 1 + 1.5 / watch_module.SPACING_S
+    assert len(sent) <= 1 + 1.5 / watch_module.MIN_REPLY_INTERVAL_S
     assert len(messages.encode_delta(replies[-1])) < 6000
 
 
-def test_a_member_that_lags_does_not_answer_over_and_over(parts):
-    _, _, _, watch = parts
+def test_member_behind_the_entry_holds_the_watch_call(control):
+    _, _, _, watch = control
     reply = watch.watch(messages.WatchCall("entry-1", 99, 0))
     assert isinstance(reply, defer.Deferred) and not reply.called
 
@@ -287,10 +293,10 @@
 VOTERS = ("a#1", "b#1", "c#1", "d#1", "e#1")
 
 
-def test_a_silent_voter_makes_room_for_a_learner_that_caught_up():
+def test_silent_voter_is_removed_once_a_learner_caught_up():
     state = build_leader(VOTERS, ("f#1",), {"c#1": 1000.0}, 10000.0)
-    planned = membership.plan_removal(state, 5, 10000.0, 4000.0)
-    assert {m.member_id for m in planned} == {
+    members = membership.plan_removal(state, 5, 10000.0, 4000.0)
+    assert {m.member_id for m in members} == {
         "a#1",
         "b#1",
         "d#1",
@@ -308,6 +314,8 @@
         (VOTERS[:4], ("f#1",), {"c#1": 1000.0}),
     ],
 )
-def test_no_voter_is_removed_without_need(voters, learners, acked):
+def test_voter_is_not_removed_without_failure_and_replacement(
+    voters, learners, acked
+):
     state = build_leader(voters, learners, acked, 10000.0)
     assert membership.plan_removal(state, 5, 10000.0, 4000.0) is None
--- a/chervilspindle/control/leader.py
+++ b/chervilspindle/control/leader.py
@@ -176,7 +176,9 @@
                         else None
                     ),
                     "endpoints": len(
-                        self.node.placement.ids_by_session.get(vm.session, ())
+                        self.node.placement.endpoint_ids_by_session.get(
+                            vm.session, ()
+                        )
                     ),
                 }
             )
--- a/chervilspindle/control/placement.py
+++ b/chervilspindle/control/placement.py
@@ -129,7 +129,7 @@
     """
 
     def __init__(self, state):
-        self.ids_by_session = {s: set() for s in state.vm_by_session}
+        self.endpoint_ids_by_session = {s: set() for s in state.vm_by_session}
         self.owner_by_id_by_service = {}
         self.service_by_id = {}
         self.needs_owner_ids = set()
@@ -153,7 +153,7 @@
         """Return the number of endpoints of each ready session."""
         return {
             session: len(ids)
-            for session, ids in self.ids_by_session.items()
+            for session, ids in self.endpoint_ids_by_session.items()
             if state.vm_by_session[session].state == "ready"
         }
 
@@ -164,12 +164,12 @@
         return [s for i, s in owner_by_id.items() if i != endpoint_id]
 
     def _refresh_session(self, state, session):
-        for endpoint_id in list(self.ids_by_session.get(session, ())):
+        for endpoint_id in list(self.endpoint_ids_by_session.get(session, ())):
             self._refresh(state, endpoint_id)
         if session in state.vm_by_session:
-            self.ids_by_session.setdefault(session, set())
+            self.endpoint_ids_by_session.setdefault(session, set())
         else:
-            self.ids_by_session.pop(session, None)
+            self.endpoint_ids_by_session.pop(session, None)
 
     def _refresh(self, state, endpoint_id):
         self._remove(endpoint_id)
@@ -180,7 +180,9 @@
         session = ownership.session if ownership else ""
         self.service_by_id[endpoint_id] = endpoint.service
         if session:
-            self.ids_by_session.setdefault(session, set()).add(endpoint_id)
+            self.endpoint_ids_by_session.setdefault(session, set()).add(
+                endpoint_id
+            )
             owners = self.owner_by_id_by_service.setdefault(
                 endpoint.service, {}
             )
@@ -204,8 +206,8 @@
         session = owners.pop(endpoint_id, None)
         if not owners:
             self.owner_by_id_by_service.pop(service, None)
-        if session in self.ids_by_session:
-            self.ids_by_session[session].discard(endpoint_id)
+        if session in self.endpoint_ids_by_session:
+            self.endpoint_ids_by_session[session].discard(endpoint_id)
 
 
 def plan_assignments(state, index):
@@ -249,8 +251,9 @@
 
 
 def plan_moves(state, index):
-    """Return assignments that improve the zones of owners and the balance.
+    """Return assignments that move endpoints to better owners.
 
+    A better owner is in the endpoint's zone, or has less load.
     The number of concurrent moves is limited. At most one endpoint of a
     service moves at a time, so that a gatherer that does not know the new
     owner yet can use another replica.
@@ -286,7 +289,7 @@
         count = pool.loads[session]
         if count - min_load <= MAX_LOAD_DIFFERENCE:
             break
-        ids = index.ids_by_session[session]
+        ids = index.endpoint_ids_by_session[session]
         zone = state.vm_by_session[session].zone
         if count - min_load_by_zone[zone] <= MAX_LOAD_DIFFERENCE:
             ids = ids & index.cross_zone_ids
@@ -308,10 +311,10 @@
         }
 
     def add_if_better(self, endpoint_id, to_own_zone: bool):
-        """Plan to move an endpoint if its owner's zone or balance improves.
+        """Plan to move an endpoint if there is a better owner for it.
 
         With `to_own_zone` the new owner has to be in the endpoint's zone;
-        otherwise the move has to reduce the difference in load.
+        otherwise it has to have less load.
         """
         if len(self.moves) >= self.max_moves:
             return
--- a/chervilspindle/control/state_test.py
+++ b/chervilspindle/control/state_test.py
@@ -319,7 +319,7 @@
     assert index.needs_owner_ids == fresh.needs_owner_ids
     assert index.handover_ids == fresh.handover_ids
     assert index.cross_zone_ids == fresh.cross_zone_ids
-    assert index.ids_by_session == fresh.ids_by_session
+    assert index.endpoint_ids_by_session == fresh.endpoint_ids_by_session
     assert index.owner_by_id_by_service == fresh.owner_by_id_by_service
     first = state.version - len(history)
     delta = messages.decode_delta(feed.get_delta(state, first))
--- a/chervilspindle/control/watch.py
+++ b/chervilspindle/control/watch.py
@@ -1,8 +1,9 @@
-"""Tells entries what changed in the replicated tables, as it changes.
+"""Sends entry processes the changes of the replicated tables.
 
-An entry watches one member with a call that is answered when something has
-changed, or after a while. Any member may be watched: committed rows only
-grow in version, and the reply says how long ago the member heard the leader.
+An entry long-polls one member with a watch call, which is answered when rows
+have changed, or after a while without changes. Any member may be watched:
+versions of committed rows only increase, and the reply has the time since the
+member last heard from the leader.
 """
 
 import math
@@ -13,14 +14,14 @@
 from chervilspindle.control import raft
 from chervilspindle.wire import messages
 
-HOLD_S = 0.7  # answers an idle call; shows that the member is alive
-GATHER_S = 0.02  # changes of one moment go out together
-SPACING_S = 0.2  # between answers to one entry; a storm of changes is one
-CHECK_S = 0.05
+IDLE_REPLY_S = 0.7  # idle calls are answered to show that the member is alive
+BATCH_DELAY_S = 0.02  # changes within this time are sent together
+MIN_REPLY_INTERVAL_S = 0.2  # for one entry; batches bursts of changes
+CHECK_PERIOD_S = 0.05
 
 
-class Waiting(typing.NamedTuple):
-    """A call that waits for a change."""
+class PendingCall(typing.NamedTuple):
+    """A watch call that waits for a change until `due_ms`."""
 
     call: messages.WatchCall
     due_ms: float
@@ -28,12 +29,12 @@
 
 
 class WatchServer:
-    """Answers the watch calls at one member.
+    """Answers watch calls at one member.
 
     Parameters
     ----------
     node : ControlNode
-    desk : Desk
+    frontend : ControlFrontend
     timers : TimerService
     read_clock : callable
         Monotonic milliseconds.
@@ -44,67 +45,84 @@
         self.frontend = frontend
         self.timers = timers
         self.read_clock = read_clock
-        self.waiting = []
-        self.release_planned = False
-        self.answered_ms_by_vm = {}
-        node.applied_listeners.append(self._note_change)
-        timers.subscribe("watch-check", CHECK_S, self._answer_due)
+        self.pending = []
+        self.batch_scheduled = False
+        self.last_reply_ms_by_vm = {}
+        node.applied_listeners.append(self._on_applied)
+        timers.subscribe("watch-check", CHECK_PERIOD_S, self._answer_due)
 
     def watch(self, call: messages.WatchCall):
-        """Answer now if something is new, else when it is."""
-        self.frontend.note_watcher(call)
+        """Answer a watch call.
+
+        Returns
+        -------
+        WatchReply or Deferred
+            The reply if there are changes to send now, else a Deferred that
+            fires with it later.
+        """
+        self.frontend.record_watcher(call)
         now = self.read_clock()
-        if self._has_news(call, now):
+        if self._has_changes(call, now):
             return self._build_reply(call)
-        due = now + HOLD_S * 1000.0
-        waiting = Waiting(call, due, defer.Deferred())
-        self.waiting.append(waiting)
-        return waiting.deferred
-
-    def _note_change(self):
-        if self.waiting and not self.release_planned:
-            self.release_planned = True
-            self.timers.call_later(GATHER_S, self._release)
-
-    def _release(self):
-        self.release_planned = False
+        due = now + IDLE_REPLY_S * 1000.0
+        pending_call = PendingCall(call, due, defer.Deferred())
+        self.pending.append(pending_call)
+        return pending_call.deferred
+
+    def _on_applied(self):
+        if self.pending and not self.batch_scheduled:
+            self.batch_scheduled = True
+            self.timers.call_later(BATCH_DELAY_S, self._answer_batch)
+
+    def _answer_batch(self):
+        self.batch_scheduled = False
         self._answer_due()
 
     def _answer_due(self):
         now = self.read_clock()
-        waiting, self.waiting = self.waiting, []
-        for one in waiting:
-            if now >= one.due_ms or self._has_news(one.call, now):
+        pending, self.pending = self.pending, []
+        for one in pending:
+            if now >= one.due_ms or self._has_changes(one.call, now):
                 one.deferred.callback(self._build_reply(one.call))
             else:
-                self.waiting.append(one)
+                self.pending.append(one)
+
+    def _has_changes(self, call, now) -> bool:
+        """Tell whether there are changes that may be sent to an entry now.
 
-    def _has_news(self, call, now) -> bool:
-        """Tell whether there is news, and the last answer is a while ago."""
+        Replies to one entry are at least `MIN_REPLY_INTERVAL_S` apart, unless
+        the entry has no tables yet.
+        """
         if self.node.tables.version <= call.known_version:
             return False
-        answered = self.answered_ms_by_vm.get(call.vm_id, -math.inf)
-        return not call.known_version or now - answered >= SPACING_S * 1000.0
+        last_reply_ms = self.last_reply_ms_by_vm.get(call.vm_id, -math.inf)
+        return (
+            not call.known_version
+            or now - last_reply_ms >= MIN_REPLY_INTERVAL_S * 1000.0
+        )
 
     def _build_reply(self, call):
         node = self.node
-        self.answered_ms_by_vm[call.vm_id] = self.read_clock()
-        known = self.frontend.relay_list
-        is_news = known.mark and known.mark != call.known_relays
+        self.last_reply_ms_by_vm[call.vm_id] = self.read_clock()
+        relay_list = self.frontend.relay_list
+        relays_changed = (
+            relay_list.mark and relay_list.mark != call.known_relays
+        )
         return messages.WatchReply(
             self._read_age_ms(),
             self.frontend.totals.watchers,
             self.frontend.totals.requests,
             tuple(sorted(m.address for m in node.raft.members)),
             node.feed.get_delta(node.tables, call.known_version),
-            known if is_news else None,
+            relay_list if relays_changed else None,
         )
 
     def _read_age_ms(self) -> float:
-        """Return the age of what this member knows to be committed, in ms.
+        """Return how stale the tables of this member may be, in ms.
 
-        Until an entry of the present term is committed here, the tables may
-        lack what was acknowledged before a restart.
+        The age is infinite until a log entry of the current term is committed
+        here, because the tables may lack changes that were acknowledged
+        before a restart.
         """
         if self.node.is_leader():
             return 0.0
