--- a/chervilspindle/control/node.py
+++ b/chervilspindle/control/node.py
@@ -356,7 +356,7 @@
         if isinstance(message, raft_messages.Install):
             message = message._replace(
                 mark=self.snapshot.mark,
-                data=state_module.join_parts(self.snapshot.parts),
+                data=state_module.join_snapshot_parts(self.snapshot.parts),
             )
         data = raft_messages.encode_envelope(
             self.identity.group, self.identity.member_id, message
@@ -374,7 +374,7 @@
 
     def _load_tables(self, snapshot):
         self.snapshot = snapshot
-        self.tables = state_module.decode_parts(snapshot.parts)
+        self.tables = state_module.decode_snapshot_parts(snapshot.parts)
         self.applied_index = snapshot.mark.index
         self.feed.reset(self.tables.version)
         self.placement = placement.PlacementIndex(self.tables)
@@ -392,7 +392,7 @@
             state = raft.install_snapshot(
                 self.raft, metadata, now, self.random.random()
             )
-            parts = state_module.split_parts(message.data)
+            parts = state_module.split_snapshot_parts(message.data)
             snapshot = storage_module.SnapshotFile(metadata, parts)
             self._abort_snapshot()
             try:
@@ -469,7 +469,7 @@
         except storage_module.StorageError:
             self._fail()
             return
-        source = state_module.split_image(self.tables)
+        source = state_module.encode_snapshot_parts(self.tables)
         self.snapshot_build = SnapshotBuild(writer, source, [])
         self._schedule_slice()
 
