--- a/chervilspindle/platform/names.py
+++ b/chervilspindle/platform/names.py
@@ -1,8 +1,8 @@
 """Names of the platform on the wire, each decoded to the product's own."""
 
-from chervilspindle.routing import forwarding
+from chervilspindle.routing import endpoint_calls
 
-HEADERS = forwarding.HeaderNames(
+HEADERS = endpoint_calls.HeaderNames(
     request_id="Chervilspindle-Attempt-Id",
     deadline_ms="Chervilspindle-Deadline-Ms",
     stamp="Chervilspindle-Server-Stamp",
--- a/chervilspindle/routing/contexts.py
+++ b/chervilspindle/routing/contexts.py
@@ -3,8 +3,8 @@
 import random
 import typing
 
+from chervilspindle.routing import endpoint_calls
 from chervilspindle.routing import endpoints
-from chervilspindle.routing import forwarding
 from chervilspindle.routing import overload
 from chervilspindle.routing import relaying
 from chervilspindle.routing import relays
@@ -32,12 +32,12 @@
 def build_context(
     loop,
     place: Place,
-    header_names: forwarding.HeaderNames,
+    header_names: endpoint_calls.HeaderNames,
     rule: retry_budget.Rule,
     network,
     metrics,
     seed,
-) -> forwarding.Context:
+) -> endpoint_calls.Context:
     """Build the context of an entry.
 
     Parameters
@@ -52,7 +52,7 @@
     seed : str
         Of the random numbers.
     """
-    names = forwarding.build_names(header_names)
+    names = endpoint_calls.build_names(header_names)
     generator = random.Random(seed)
     table = endpoints.EndpointTable(
         loop,
@@ -68,12 +68,12 @@
         place.link_mbps,
         loop.time,
     )
-    return forwarding.Context(
+    return endpoint_calls.Context(
         loop,
         names,
         table,
         retry_budget.RetryBudget(rule, loop.time),
-        forwarding.Pace(place.core_share, place.link_mbps),
+        endpoint_calls.Pace(place.core_share, place.link_mbps),
         metrics,
         generator,
         relaying.RelayClient(network, relay_table),
--- a/chervilspindle/routing/data_path_test.py
+++ b/chervilspindle/routing/data_path_test.py
@@ -14,8 +14,8 @@
 from chervilspindle.platform import names as platform_names
 from chervilspindle.routing import contexts
 from chervilspindle.routing import documents
+from chervilspindle.routing import endpoint_calls
 from chervilspindle.routing import entry as entry_module
-from chervilspindle.routing import forwarding
 from chervilspindle.routing import merge
 from chervilspindle.routing import metrics as metrics_module
 from chervilspindle.routing import retry_budget
@@ -463,7 +463,7 @@
         )
         await asyncio.sleep(0.05)
         writer.close()
-        await asyncio.sleep(forwarding.ABANDON_DELAY_S + 0.1)
+        await asyncio.sleep(endpoint_calls.ABANDON_DELAY_S + 0.1)
         desk = world.backend_by_id["desk-a"].server
         other = world.backend_by_id["desk-b"].server
         assert desk.count_busy() + other.count_busy() == 0
--- a/chervilspindle/routing/entry.py
+++ b/chervilspindle/routing/entry.py
@@ -9,8 +9,8 @@
 
 from chervilspindle.core import logs
 from chervilspindle.routing import documents
+from chervilspindle.routing import endpoint_calls
 from chervilspindle.routing import fanout
-from chervilspindle.routing import forwarding
 from chervilspindle.routing import single
 from chervilspindle.wire import http_server
 
@@ -28,7 +28,7 @@
     context : forwarding.Context
     """
 
-    def __init__(self, context: forwarding.Context):
+    def __init__(self, context: endpoint_calls.Context):
         self.context = context
         self.document = None
         self.routes = None
@@ -84,7 +84,7 @@
             self._answer_early(exchange, 400, (), "no_request_id")
             return
         caller_ms = parse_ms(request.get_header(lower.deadline_ms))
-        incoming = forwarding.Incoming(
+        incoming = endpoint_calls.Incoming(
             exchange, route, self.document.version, request_id, caller_ms
         )
         self._start(incoming)
--- a/chervilspindle/routing/parts_query.py
+++ b/chervilspindle/routing/parts_query.py
@@ -5,7 +5,7 @@
 and its budget are known.
 """
 
-from chervilspindle.routing import forwarding
+from chervilspindle.routing import endpoint_calls
 from chervilspindle.wire import messages
 
 
@@ -49,7 +49,7 @@
                 self.listener.lose_part(self, loss)
                 continue
             endpoint_id = target.endpoint.endpoint_id
-            call = forwarding.build_call(
+            call = endpoint_calls.build_call(
                 self.message,
                 self.request_id,
                 endpoint_id,
@@ -89,7 +89,7 @@
         service, target = call.context
         del self.call_by_service[service]
         context = self.context
-        verdict = forwarding.take_answer(target, call, answer, context)
+        verdict = endpoint_calls.take_answer(target, call, answer, context)
         if verdict.good:
             took_ms = (context.loop.time() - call.sent_s) * 1000.0
             stamp = answer.get_header(context.names.lower.stamp)
--- a/chervilspindle/routing/process.py
+++ b/chervilspindle/routing/process.py
@@ -21,9 +21,9 @@
 from chervilspindle.core import loops
 from chervilspindle.core import timers as timers_module
 from chervilspindle.routing import contexts
+from chervilspindle.routing import endpoint_calls
 from chervilspindle.routing import entry as entry_module
 from chervilspindle.routing import follower as follower_module
-from chervilspindle.routing import forwarding
 from chervilspindle.routing import keeper as keeper_module
 from chervilspindle.routing import metrics as metrics_module
 from chervilspindle.routing import relaying
@@ -112,7 +112,7 @@
         Returns the `RoutingSettings` in force.
     """
 
-    names: forwarding.HeaderNames
+    names: endpoint_calls.HeaderNames
     ready_path: bytes
     decode_document: abc.Callable
     build_control_handler: abc.Callable
--- a/chervilspindle/routing/relaying.py
+++ b/chervilspindle/routing/relaying.py
@@ -10,7 +10,7 @@
 import itertools
 
 from chervilspindle.core import logs
-from chervilspindle.routing import forwarding
+from chervilspindle.routing import endpoint_calls
 from chervilspindle.routing import parts
 from chervilspindle.routing import parts_query
 from chervilspindle.wire import messages
@@ -206,7 +206,7 @@
         started_s = self.loop.time()
         self.query = parts_query.PartsQuery(
             context,
-            forwarding.Message(call.head, call.tail, context.names.sent),
+            endpoint_calls.Message(call.head, call.tail, context.names.sent),
             request.request_id,
             started_s + request.left_ms / 1000.0,
             self,
--- a/chervilspindle/routing/routed.py
+++ b/chervilspindle/routing/routed.py
@@ -4,7 +4,7 @@
 and ends once: with an answer, or because its caller left.
 """
 
-from chervilspindle.routing import forwarding
+from chervilspindle.routing import endpoint_calls
 from chervilspindle.routing import policy
 
 MAX_REFUSED_SENDS = 3  # sends beyond the attempts that may run
@@ -40,7 +40,7 @@
             ),
             context.pace.lag_ms + context.pace.compute_answer_ms(route),
         )
-        self.message = forwarding.build_message(incoming, context.names)
+        self.message = endpoint_calls.build_message(incoming, context.names)
         self.done = False
         self.timers = []
 
@@ -97,7 +97,9 @@
         fields = {"why": "caller_left", **self.describe()}
         self.on_done(self.incoming, CALLER_LEFT_STATUS, fields)
         if self.incoming.route.idempotent:
-            self.loop.call_later(forwarding.ABANDON_DELAY_S, self.cancel_sends)
+            self.loop.call_later(
+                endpoint_calls.ABANDON_DELAY_S, self.cancel_sends
+            )
 
     def _end(self):
         self.done = True
--- a/chervilspindle/routing/single.py
+++ b/chervilspindle/routing/single.py
@@ -1,6 +1,6 @@
 """A request that one endpoint answers, passed through unchanged."""
 
-from chervilspindle.routing import forwarding
+from chervilspindle.routing import endpoint_calls
 from chervilspindle.routing import routed
 from chervilspindle.wire import endpoint_http
 from chervilspindle.wire import http_server
@@ -38,7 +38,7 @@
 
     def _send(self, target):
         endpoint_id = target.endpoint.endpoint_id
-        call = forwarding.build_call(
+        call = endpoint_calls.build_call(
             self.message,
             self.incoming.request_id,
             endpoint_id,
@@ -57,7 +57,9 @@
     def _end_call(self, call, answer):
         target = call.context
         self.calls.remove(call)
-        verdict = forwarding.take_answer(target, call, answer, self.context)
+        verdict = endpoint_calls.take_answer(
+            target, call, answer, self.context
+        )
         if not verdict.ran:
             self.may_have_run -= 1
         if self.done:
