--- a/chervilspindle/routing/fanout.py
+++ b/chervilspindle/routing/fanout.py
@@ -12,7 +12,7 @@
 from chervilspindle.routing import parts
 from chervilspindle.routing import parts_query
 from chervilspindle.routing import policy
-from chervilspindle.routing import routed
+from chervilspindle.routing import routed_request
 from chervilspindle.wire import messages
 
 RECHECK_MS = 2.0  # a small part of the least time until a hedge
@@ -64,7 +64,7 @@
         self.reason = ""
 
 
-class FanOut(routed.RoutedRequest):
+class FanOut(routed_request.RoutedRequest):
     """One request to all shards of its route."""
 
     def __init__(self, incoming, context, on_done):
@@ -315,7 +315,7 @@
         attempts = self.incoming.route.max_attempts
         if shard.may_have_run >= attempts:
             return False
-        if shard.sends >= attempts + routed.MAX_REFUSED_SENDS:
+        if shard.sends >= attempts + routed_request.MAX_REFUSED_SENDS:
             return False
         table = self.context.table
         if table.count_endpoints(shard.service) <= len(set(shard.tried)):
--- a/chervilspindle/routing/single.py
+++ b/chervilspindle/routing/single.py
@@ -1,14 +1,14 @@
 """A request that one endpoint answers, passed through unchanged."""
 
 from chervilspindle.routing import endpoint_calls
-from chervilspindle.routing import routed
+from chervilspindle.routing import routed_request
 from chervilspindle.wire import endpoint_http
 from chervilspindle.wire import http_server
 
 PROMISES_NOT_RUN = (408, 421, 429, 503)
 
 
-class Forward(routed.RoutedRequest):
+class Forward(routed_request.RoutedRequest):
     """One request to one endpoint of a service."""
 
     def __init__(self, incoming, service, context, on_done):
@@ -80,7 +80,7 @@
 
     def _may_send(self) -> bool:
         route = self.incoming.route
-        if self.sends >= route.max_attempts + routed.MAX_REFUSED_SENDS:
+        if self.sends >= route.max_attempts + routed_request.MAX_REFUSED_SENDS:
             return False
         if route.idempotent:
             return self.may_have_run < route.max_attempts
