--- a/chervilspindle/routing/entry.py
+++ b/chervilspindle/routing/entry.py
@@ -11,7 +11,7 @@
 from chervilspindle.routing import documents
 from chervilspindle.routing import endpoint_calls
 from chervilspindle.routing import fanout
-from chervilspindle.routing import single
+from chervilspindle.routing import single_endpoint
 from chervilspindle.wire import http_server
 
 LOGGER = logging.getLogger(__name__)
@@ -95,7 +95,9 @@
             fanout.FanOut(incoming, self.context, self._finish).start()
             return
         service = choose_service(route.alternatives, self.context.random)
-        single.Forward(incoming, service, self.context, self._finish).start()
+        single_endpoint.Forward(
+            incoming, service, self.context, self._finish
+        ).start()
 
     def _finish(self, incoming, status, fields):
         now = self.context.loop.time()
