--- a/chervilspindle/routing/fanout.py
+++ b/chervilspindle/routing/fanout.py
@@ -9,7 +9,7 @@
 
 from chervilspindle.policy import hedging
 from chervilspindle.routing import overload
-from chervilspindle.routing import parts
+from chervilspindle.routing import part_merging
 from chervilspindle.routing import parts_query
 from chervilspindle.routing import policy
 from chervilspindle.routing import routed_request
@@ -231,7 +231,7 @@
     def _add(self, part_set):
         held = self.part_set_by_service
         before = len(held)
-        for service in parts.add_parts(held, part_set):
+        for service in part_merging.add_parts(held, part_set):
             shard = self.shard_by_service[service]
             if shard.lost:
                 shard.lost = False
@@ -382,7 +382,7 @@
         names = self.context.names.sent
         held = self.part_set_by_service
         found = list({id(p): p for p in held.values()}.values())
-        whole = parts.merge_parts(found, self.incoming.route.top_k)
+        whole = part_merging.merge_parts(found, self.incoming.route.top_k)
         missing = len(self.shard_by_service) - len(held)
         headers = (
             (names.part_stamps, whole.stamps),
--- a/chervilspindle/routing/relaying.py
+++ b/chervilspindle/routing/relaying.py
@@ -11,7 +11,7 @@
 
 from chervilspindle.core import logs
 from chervilspindle.routing import endpoint_calls
-from chervilspindle.routing import parts
+from chervilspindle.routing import part_merging
 from chervilspindle.routing import parts_query
 from chervilspindle.wire import messages
 
@@ -281,7 +281,9 @@
         if not self.first_sent:
             in_progress = tuple(self.endpoint_by_service.items())
             if len(found) > 1:
-                found = (parts.merge_parts(found, self.call.request.top_k),)
+                found = (
+                    part_merging.merge_parts(found, self.call.request.top_k),
+                )
         self.parts, self.losses = [], []
         self._send_report(found, losses, in_progress)
 
