--- a/chervilspindle/routing/fanout.py
+++ b/chervilspindle/routing/fanout.py
@@ -8,9 +8,9 @@
 """
 
 from chervilspindle.policy import hedging
+from chervilspindle.routing import direct_dispatch
 from chervilspindle.routing import overload
 from chervilspindle.routing import part_merging
-from chervilspindle.routing import parts_query
 from chervilspindle.routing import policy
 from chervilspindle.routing import routed_request
 from chervilspindle.wire import messages
@@ -133,7 +133,7 @@
             shard.may_have_run += 1
 
     def _send_from_here(self, shards):
-        sent = parts_query.PartsQuery(
+        sent = direct_dispatch.PartsQuery(
             self.context,
             self.message,
             self.incoming.request_id,
--- a/chervilspindle/routing/relaying.py
+++ b/chervilspindle/routing/relaying.py
@@ -10,9 +10,9 @@
 import itertools
 
 from chervilspindle.core import logs
+from chervilspindle.routing import direct_dispatch
 from chervilspindle.routing import endpoint_calls
 from chervilspindle.routing import part_merging
-from chervilspindle.routing import parts_query
 from chervilspindle.wire import messages
 
 GATHER_S = 0.002  # parts that come together are reported together
@@ -204,7 +204,7 @@
         self.loop = context.loop
         request = call.request
         started_s = self.loop.time()
-        self.query = parts_query.PartsQuery(
+        self.query = direct_dispatch.PartsQuery(
             context,
             endpoint_calls.Message(call.head, call.tail, context.names.sent),
             request.request_id,
