--- a/chervilspindle/routing/direct_dispatch.py
+++ b/chervilspindle/routing/direct_dispatch.py
@@ -9,7 +9,7 @@
 from chervilspindle.wire import messages
 
 
-class PartsQuery:
+class DirectDispatch:
     """Shards that are sent from this process.
 
     Parameters
--- a/chervilspindle/routing/fanout.py
+++ b/chervilspindle/routing/fanout.py
@@ -133,7 +133,7 @@
             shard.may_have_run += 1
 
     def _send_from_here(self, shards):
-        sent = direct_dispatch.PartsQuery(
+        sent = direct_dispatch.DirectDispatch(
             self.context,
             self.message,
             self.incoming.request_id,
--- a/chervilspindle/routing/relaying.py
+++ b/chervilspindle/routing/relaying.py
@@ -204,7 +204,7 @@
         self.loop = context.loop
         request = call.request
         started_s = self.loop.time()
-        self.query = direct_dispatch.PartsQuery(
+        self.query = direct_dispatch.DirectDispatch(
             context,
             endpoint_calls.Message(call.head, call.tail, context.names.sent),
             request.request_id,
