--- a/chervilspindle/routing/endpoint_calls.py
+++ b/chervilspindle/routing/endpoint_calls.py
@@ -154,7 +154,7 @@
     caller_ms: float | None
 
 
-class Message:
+class RequestTemplate:
     """The request as endpoints get it, but for what differs by send.
 
     Parameters
@@ -184,7 +184,7 @@
         )
 
 
-def build_message(incoming: Incoming, names: Names) -> Message:
+def build_message(incoming: Incoming, names: Names) -> RequestTemplate:
     """Return a caller's request as endpoints get it."""
     request = incoming.exchange.request
     kept = select_headers(request.headers, names.lower)
@@ -194,7 +194,7 @@
         lines.append(b"Content-Length: %d\r\n" % len(request.body))
     lines.append(b"%s: %s\r\n" % (names.sent.request_id, incoming.request_id))
     tail = b"\r\n\r\n" + request.body
-    return Message(b"".join(lines), tail, names.sent)
+    return RequestTemplate(b"".join(lines), tail, names.sent)
 
 
 def select_headers(headers, lower: HeaderNames):
@@ -247,7 +247,7 @@
 
 
 def build_call(
-    message: Message,
+    message: RequestTemplate,
     request_id: bytes,
     endpoint_id: str,
     deadline_s: float,
--- a/chervilspindle/routing/relaying.py
+++ b/chervilspindle/routing/relaying.py
@@ -206,7 +206,9 @@
         started_s = self.loop.time()
         self.query = direct_dispatch.DirectDispatch(
             context,
-            endpoint_calls.Message(call.head, call.tail, context.names.sent),
+            endpoint_calls.RequestTemplate(
+                call.head, call.tail, context.names.sent
+            ),
             request.request_id,
             started_s + request.left_ms / 1000.0,
             self,
