--- a/bench/data_path_cost.py
+++ b/bench/data_path_cost.py
@@ -55,7 +55,7 @@
     timers = timers_module.TimerService(clock)
     context = contexts.build_context(
         loop,
-        contexts.Place("vm-1", "a"),
+        contexts.VmProfile("vm-1", "a"),
         platform_names.HEADERS,
         retry_budget.Rule(0.2, 100.0, 10.0),
         peer.PeerNetwork(clock, timers, b"", None, streams.LoopStreams(loop)),
--- a/chervilspindle/routing/contexts.py
+++ b/chervilspindle/routing/contexts.py
@@ -11,7 +11,7 @@
 from chervilspindle.routing import retry_budget
 
 
-class Place(typing.NamedTuple):
+class VmProfile(typing.NamedTuple):
     """Where an entry runs, and what it has there.
 
     Parameters
@@ -31,7 +31,7 @@
 
 def build_context(
     loop,
-    place: Place,
+    place: VmProfile,
     header_names: endpoint_calls.HeaderNames,
     rule: retry_budget.Rule,
     network,
--- a/chervilspindle/routing/data_path_test.py
+++ b/chervilspindle/routing/data_path_test.py
@@ -91,7 +91,7 @@
         )
         context = contexts.build_context(
             loop,
-            contexts.Place("vm-1", "a"),
+            contexts.VmProfile("vm-1", "a"),
             platform_names.HEADERS,
             retry_budget.Rule(0.2, base, 10.0),
             network,
--- a/chervilspindle/routing/process.py
+++ b/chervilspindle/routing/process.py
@@ -199,7 +199,7 @@
         settings = self.settings
         context = contexts.build_context(
             self.loop,
-            contexts.Place(
+            contexts.VmProfile(
                 settings.vm_id,
                 settings.zone,
                 settings.core_share,
--- a/chervilspindle/routing/relaying_test.py
+++ b/chervilspindle/routing/relaying_test.py
@@ -57,7 +57,7 @@
         )
         self.context = contexts.build_context(
             loop,
-            contexts.Place(name, zone, 1.0, LINK_MBPS),
+            contexts.VmProfile(name, zone, 1.0, LINK_MBPS),
             platform_names.HEADERS,
             retry_budget.Rule(0.2, 100.0, 10.0),
             self.network,
