--- a/chervilspindle/routing/fanout.py
+++ b/chervilspindle/routing/fanout.py
@@ -231,7 +231,7 @@
     def _add(self, part_set):
         held = self.part_set_by_service
         before = len(held)
-        for service in part_merging.add_parts(held, part_set):
+        for service in part_merging.add_part_set(held, part_set):
             shard = self.shard_by_service[service]
             if shard.lost:
                 shard.lost = False
--- a/chervilspindle/routing/part_merging.py
+++ b/chervilspindle/routing/part_merging.py
@@ -9,7 +9,7 @@
 from chervilspindle.wire import messages
 
 
-def add_parts(
+def add_part_set(
     part_set_by_service: dict, new: messages.PartSet
 ) -> tuple[str, ...]:
     """Take in parts unless more shards would be lost by it than gained.
--- a/chervilspindle/routing/relays_test.py
+++ b/chervilspindle/routing/relays_test.py
@@ -152,18 +152,21 @@
 
 def test_parts_of_one_shard_count_once():
     held = {}
-    assert part_merging.add_parts(held, part_set("a")) == ("a",)
-    assert part_merging.add_parts(held, part_set("a")) == ()
-    assert part_merging.add_parts(held, part_set("b", "c")) == ("b", "c")
+    assert part_merging.add_part_set(held, part_set("a")) == ("a",)
+    assert part_merging.add_part_set(held, part_set("a")) == ()
+    assert part_merging.add_part_set(held, part_set("b", "c")) == ("b", "c")
     assert len({id(p) for p in held.values()}) == 2
 
 
 def test_a_set_that_covers_more_takes_the_place_of_those_it_overlaps():
     held = {}
-    part_merging.add_parts(held, part_set("a", "b"))
-    part_merging.add_parts(held, part_set("d"))
-    assert part_merging.add_parts(held, part_set("b", "c")) == ()
+    part_merging.add_part_set(held, part_set("a", "b"))
+    part_merging.add_part_set(held, part_set("d"))
+    assert part_merging.add_part_set(held, part_set("b", "c")) == ()
     assert set(held) == {"a", "b", "d"}
-    assert part_merging.add_parts(held, part_set("b", "c", "e")) == ("c", "e")
+    assert part_merging.add_part_set(held, part_set("b", "c", "e")) == (
+        "c",
+        "e",
+    )
     assert set(held) == {"b", "c", "d", "e"}
     assert held["b"] is held["e"] and held["d"] is not held["b"]
