--- a/chervilspindle/routing/direct_dispatch.py
+++ b/chervilspindle/routing/direct_dispatch.py
@@ -62,7 +62,7 @@
             self.listener.note_endpoint(self, service, endpoint_id)
             target.pool.submit(call)
 
-    def is_silent(self) -> bool:
+    def awaits_report(self) -> bool:
         """Tell whether nothing is known of what was sent."""
         return False
 
--- a/chervilspindle/routing/fanout.py
+++ b/chervilspindle/routing/fanout.py
@@ -290,7 +290,7 @@
             if self._is_settled(shard) or len(shard.open_sends) != 1:
                 continue
             sent = shard.open_sends[0]
-            if sent.is_silent():
+            if sent.awaits_report():
                 if grace:
                     waits = True
                     continue
--- a/chervilspindle/routing/relaying.py
+++ b/chervilspindle/routing/relaying.py
@@ -39,7 +39,7 @@
         self.reported = False
         self.presumed_lost = False
 
-    def is_silent(self) -> bool:
+    def awaits_report(self) -> bool:
         """Tell whether the relay has not reported yet."""
         return not self.reported
 
