--- a/chervilspindle/routing/policy_test.py
+++ b/chervilspindle/routing/policy_test.py
@@ -175,7 +175,7 @@
         if now[0] < counted_until_s:
             total = sum(b.read_requests() for b in budgets)
             for one in budgets:
-                one.note_total(vms, total)
+                one.update_totals(vms, total)
         for _ in range(wanted):
             if budget.spend("s"):
                 events.append((now[0], "extra"))
@@ -228,9 +228,9 @@
         budget.count_requests(("s",))
     assert budget.read_requests() == 5
     assert sum(budget.spend("s") for _ in range(9)) == 2
-    budget.note_total(102, 120)
+    budget.update_totals(102, 120)
     assert sum(budget.spend("s") for _ in range(9)) == 3
     now[0] += 11.0
     budget.count_requests(("s",))
-    budget.note_total(102, 600)
+    budget.update_totals(102, 600)
     assert sum(budget.spend("s") for _ in range(9)) <= 2
--- a/chervilspindle/routing/process.py
+++ b/chervilspindle/routing/process.py
@@ -321,7 +321,7 @@
     def _take_count(self, vms, requests):
         budget = self.context.budget
         known_vms = budget.vms
-        budget.note_total(vms, requests)
+        budget.update_totals(vms, requests)
         rate = requests / budget.rule.window_s if vms else None
         self.context.relays.table.put_rate(rate)
         if vms != known_vms:
--- a/chervilspindle/routing/retry_budget.py
+++ b/chervilspindle/routing/retry_budget.py
@@ -57,7 +57,7 @@
         # Mutable rows [slice number, requests, extra sends], oldest first.
         self.slices_by_service = {}
 
-    def note_total(self, vms: int, requests: int):
+    def update_totals(self, vms: int, requests: int):
         """Take over what control counts over all VMs, 0 if it can't tell."""
         self.vms = vms
         self.total_requests = requests
