--- a/chervilspindle/routing/data_path_test.py
+++ b/chervilspindle/routing/data_path_test.py
@@ -629,7 +629,7 @@
             state_load(world, list(world.table.target_by_id), 4.0)
             status, _, _ = await world.ask("/all/x", f"id-{number}")
             statuses.append(status)
-        assert budget.read_requests() == statuses.count(200) < 6
+        assert budget.read_peak_requests() == statuses.count(200) < 6
 
     play(test)
 
--- a/chervilspindle/routing/follower.py
+++ b/chervilspindle/routing/follower.py
@@ -74,7 +74,7 @@
         timers,
         take_delta,
         take_count,
-        read_requests,
+        read_peak_requests,
         take_relays,
         seed=None,
     ):
@@ -84,7 +84,7 @@
         self.timers = timers
         self.take_delta = take_delta
         self.take_count = take_count
-        self.read_requests = read_requests
+        self.read_peak_requests = read_peak_requests
         self.take_relays = take_relays
         self.known_relays = 0
         self.random = random.Random(seed)
@@ -121,7 +121,7 @@
         message = messages.WatchCall(
             watcher.vm_id,
             self.version,
-            self.read_requests(),
+            self.read_peak_requests(),
             watcher.zone,
             watcher.relay_address,
             self.known_relays,
--- a/chervilspindle/routing/policy_test.py
+++ b/chervilspindle/routing/policy_test.py
@@ -173,7 +173,7 @@
         budget.count_requests(("s",))
         events.append((now[0], "request"))
         if now[0] < counted_until_s:
-            total = sum(b.read_requests() for b in budgets)
+            total = sum(b.read_peak_requests() for b in budgets)
             for one in budgets:
                 one.update_totals(vms, total)
         for _ in range(wanted):
@@ -226,7 +226,7 @@
     budget.vms = 102
     for _ in range(5):
         budget.count_requests(("s",))
-    assert budget.read_requests() == 5
+    assert budget.read_peak_requests() == 5
     assert sum(budget.spend("s") for _ in range(9)) == 2
     budget.update_totals(102, 120)
     assert sum(budget.spend("s") for _ in range(9)) == 3
--- a/chervilspindle/routing/process.py
+++ b/chervilspindle/routing/process.py
@@ -226,7 +226,7 @@
             self.timers,
             self._take_delta,
             self._take_count,
-            self.context.budget.read_requests,
+            self.context.budget.read_peak_requests,
             context.relays.table.put_relays,
         )
         self.front = None
--- a/chervilspindle/routing/retry_budget.py
+++ b/chervilspindle/routing/retry_budget.py
@@ -92,7 +92,7 @@
         self._open_slice(service, number)[2] += 1
         return True
 
-    def read_requests(self) -> int:
+    def read_peak_requests(self) -> int:
         """Return the most requests for one service within a window."""
         oldest = self._read_slice() - SLICES
         return max(
