--- a/bench/data_path_cost.py
+++ b/bench/data_path_cost.py
@@ -68,7 +68,9 @@
     route = documents.Route(
         "all", "h", "/", True, 2000.0, 500.0, 1, 2, (), shards, 20, 0.5
     )
-    entry.put_document(documents.Document(1, (route,), {}, documents.Limits()))
+    entry.update_document(
+        documents.Document(1, (route,), {}, documents.Limits())
+    )
     for number, address in enumerate(addresses):
         table.put(
             rows.Endpoint(
--- a/chervilspindle/routing/data_path_test.py
+++ b/chervilspindle/routing/data_path_test.py
@@ -124,7 +124,7 @@
             name: documents.Service(name, "/health", 20)
             for name in (*SHARDS, "desk")
         }
-        self.entry.put_document(
+        self.entry.update_document(
             documents.Document(3, ROUTES, services, documents.Limits())
         )
         for backend in self.backend_by_id.values():
--- a/chervilspindle/routing/entry.py
+++ b/chervilspindle/routing/entry.py
@@ -35,7 +35,7 @@
         self.draining = False
         self.started_s = context.loop.time()
 
-    def put_document(self, document: documents.Document) -> bool:
+    def update_document(self, document: documents.Document) -> bool:
         """Put a document in force, unless a newer one is."""
         if self.document is not None:
             if document.version <= self.document.version:
--- a/chervilspindle/routing/keeper_test.py
+++ b/chervilspindle/routing/keeper_test.py
@@ -98,7 +98,7 @@
         "vm-1", "a", core_share, link_mbps, clock.seconds
     )
     if relays:
-        relay_table.put_document(document)
+        relay_table.update_document(document)
         relay_table.put_relays(1, relays)
     entry = Fake(
         document,
--- a/chervilspindle/routing/process.py
+++ b/chervilspindle/routing/process.py
@@ -314,8 +314,8 @@
 
     def _take_document(self, stored):
         document = self.adapter.decode_document(stored.data)
-        if self.entry.put_document(document):
-            self.context.relays.table.put_document(document)
+        if self.entry.update_document(document):
+            self.context.relays.table.update_document(document)
             self._share_connections()
 
     def _take_count(self, vms, requests):
--- a/chervilspindle/routing/relaying_test.py
+++ b/chervilspindle/routing/relaying_test.py
@@ -124,8 +124,8 @@
         )
         for one in self.entries:
             await one.network.listen(one.address).asFuture(self.loop)
-            one.entry.put_document(document)
-            one.context.relays.table.put_document(document)
+            one.entry.update_document(document)
+            one.context.relays.table.update_document(document)
             one.context.relays.table.put_relays(
                 1, [e.row for e in self.entries]
             )
--- a/chervilspindle/routing/relays.py
+++ b/chervilspindle/routing/relays.py
@@ -159,7 +159,7 @@
             self.ranked_by_group = {}
             self.revision += 1
 
-    def put_document(self, document):
+    def update_document(self, document):
         """Divide the shards of all routes into groups."""
         objective_by_shards = {}
         for route in document.routes:
--- a/chervilspindle/routing/relays_test.py
+++ b/chervilspindle/routing/relays_test.py
@@ -24,7 +24,7 @@
         "r", "h", "/", True, 600.0, 47.0, 1, 2, (), SHARDS, 5, 0.85
     )
     document = documents.Document(1, (route,), {}, documents.Limits())
-    table.put_document(document)
+    table.update_document(document)
     table.put_relays(7, build_relays(count))
     return table
 
