--- a/chervilspindle/routing/data_path_test.py
+++ b/chervilspindle/routing/data_path_test.py
@@ -99,7 +99,7 @@
             "test",
         )
         context.budget.vms = 1
-        context.pace.lag_ms = 0.0
+        context.latency_estimates.lag_ms = 0.0
         self.table = context.table
         self.entry = entry_module.RoutingEntry(context)
         self.address = find_address()
--- a/chervilspindle/routing/endpoint_calls.py
+++ b/chervilspindle/routing/endpoint_calls.py
@@ -126,7 +126,7 @@
     names: Names
     table: endpoints.EndpointTable
     budget: retry_budget.RetryBudget
-    pace: Pace
+    latency_estimates: Pace
     metrics: object
     random: object
     relays: object
--- a/chervilspindle/routing/fanout.py
+++ b/chervilspindle/routing/fanout.py
@@ -255,9 +255,11 @@
 
     def _reach_answer_time(self):
         self.past_answer_time = True
-        pace = self.context.pace
+        latency_estimates = self.context.latency_estimates
         late_ms = self.read_elapsed_ms() - self.timing.answer_ms
-        pace.lag_ms = policy.smooth_lag(pace.lag_ms, late_ms)
+        latency_estimates.lag_ms = policy.smooth_lag(
+            latency_estimates.lag_ms, late_ms
+        )
         if not self.done and len(self.part_set_by_service) >= self.needed:
             self._answer("objective")
 
--- a/chervilspindle/routing/routed_request.py
+++ b/chervilspindle/routing/routed_request.py
@@ -35,10 +35,11 @@
             route.timeout_ms,
             incoming.caller_ms,
             request.is_first,
-            context.pace.usual_ms_by_route.get(
+            context.latency_estimates.usual_ms_by_route.get(
                 route.name, policy.FIRST_USUAL_MS
             ),
-            context.pace.lag_ms + context.pace.compute_answer_ms(route),
+            context.latency_estimates.lag_ms
+            + context.latency_estimates.compute_answer_ms(route),
         )
         self.message = endpoint_calls.build_message(incoming, context.names)
         self.done = False
@@ -71,7 +72,7 @@
 
     def note_usual(self, took_ms: float):
         """Take in the time of good answers."""
-        usual = self.context.pace.usual_ms_by_route
+        usual = self.context.latency_estimates.usual_ms_by_route
         name = self.incoming.route.name
         usual[name] = policy.smooth_usual(usual.get(name), took_ms)
 
