--- a/chervilspindle/routing/contexts.py
+++ b/chervilspindle/routing/contexts.py
@@ -73,7 +73,7 @@
         names,
         table,
         retry_budget.RetryBudget(rule, loop.time),
-        endpoint_calls.Pace(place.core_share, place.link_mbps),
+        endpoint_calls.LatencyEstimates(place.core_share, place.link_mbps),
         metrics,
         generator,
         relaying.RelayClient(network, relay_table),
--- a/chervilspindle/routing/endpoint_calls.py
+++ b/chervilspindle/routing/endpoint_calls.py
@@ -73,7 +73,7 @@
     )
 
 
-class Pace:
+class LatencyEstimates:
     """How this process keeps up; a mutable row.
 
     Attributes
@@ -126,7 +126,7 @@
     names: Names
     table: endpoints.EndpointTable
     budget: retry_budget.RetryBudget
-    latency_estimates: Pace
+    latency_estimates: LatencyEstimates
     metrics: object
     random: object
     relays: object
