--- a/chervilspindle/routing/endpoint_calls.py
+++ b/chervilspindle/routing/endpoint_calls.py
@@ -94,7 +94,7 @@
     __slots__ = ("usual_ms_by_route", "lag_ms", "core_share", "link_mbps")
 
     def __init__(self, core_share: float = 1.0, link_mbps: float = 1000.0):
-        self.usual_ms_by_route = {}
+        self.part_ms_by_route = {}
         self.lag_ms = policy.FIRST_LAG_MS / core_share
         self.core_share = core_share
         self.link_mbps = link_mbps
--- a/chervilspindle/routing/relaying_test.py
+++ b/chervilspindle/routing/relaying_test.py
@@ -162,7 +162,7 @@
         """Open connections; hedges are due after 190 ms from then on."""
         await self.ask("warm")
         await self.ask("warm-2")
-        self.entry.context.latency_estimates.usual_ms_by_route["all"] = 1000.0
+        self.entry.context.latency_estimates.part_ms_by_route["all"] = 1000.0
 
     async def ask(self, request_id):
         ask = data_path_test.World.ask
@@ -297,7 +297,7 @@
     async def test(world):
         await world.warm()
         # Reports are due some time before hedges, which are late then.
-        world.entry.context.latency_estimates.usual_ms_by_route["all"] = 100.0
+        world.entry.context.latency_estimates.part_ms_by_route["all"] = 100.0
         for zone in "ab":
             world.backend_by_id[f"shard-00-{zone}"].work_s = 0.15
         world.backend_by_id["shard-03-a"].refusing = True
--- a/chervilspindle/routing/routed_request.py
+++ b/chervilspindle/routing/routed_request.py
@@ -35,7 +35,7 @@
             route.timeout_ms,
             incoming.caller_ms,
             request.is_first,
-            context.latency_estimates.usual_ms_by_route.get(
+            context.latency_estimates.part_ms_by_route.get(
                 route.name, policy.FIRST_USUAL_MS
             ),
             context.latency_estimates.lag_ms
@@ -72,7 +72,7 @@
 
     def note_usual(self, took_ms: float):
         """Take in the time of good answers."""
-        usual = self.context.latency_estimates.usual_ms_by_route
+        usual = self.context.latency_estimates.part_ms_by_route
         name = self.incoming.route.name
         usual[name] = policy.smooth_usual(usual.get(name), took_ms)
 
