--- a/chervilspindle/routing/endpoints.py
+++ b/chervilspindle/routing/endpoints.py
@@ -140,7 +140,7 @@
     def compute_cost(self, target: Target, now: float, best_ms) -> float:
         """Return the cost of sending to an endpoint; see `selection`."""
         pool = target.pool
-        view = selection.View(
+        view = selection.CandidateState(
             len(pool.running),
             pool.read_silence(now) * 1000.0,
             target.same_zone,
--- a/chervilspindle/routing/policy_test.py
+++ b/chervilspindle/routing/policy_test.py
@@ -13,7 +13,7 @@
 from chervilspindle.routing import retry_budget
 from chervilspindle.routing import selection
 
-VIEW = selection.View(0, 0.0, True, False, True)
+VIEW = selection.CandidateState(0, 0.0, True, False, True)
 
 
 def test_an_answer_leaves_time_for_the_way_back():
--- a/chervilspindle/routing/selection.py
+++ b/chervilspindle/routing/selection.py
@@ -76,7 +76,7 @@
         self.refused = False
 
 
-class View(typing.NamedTuple):
+class CandidateState(typing.NamedTuple):
     """What a choice depends on besides health.
 
     Parameters
@@ -153,7 +153,10 @@
 
 
 def compute_cost(
-    health: Health, view: View, now: float, best_ms: float = FIRST_GUESS_MS
+    health: Health,
+    view: CandidateState,
+    now: float,
+    best_ms: float = FIRST_GUESS_MS,
 ) -> float:
     """Return the expected time to an answer and its penalties, in ms."""
     usual_ms = estimate_usual(health, best_ms, now)
