--- a/chervilspindle/routing/endpoints.py
+++ b/chervilspindle/routing/endpoints.py
@@ -177,7 +177,7 @@
         typical = target.health.typical_ms
         if typical is not None and typical < best:
             best = typical
-    return selection.FIRST_GUESS_MS if best == math.inf else best
+    return selection.INITIAL_ANSWER_MS if best == math.inf else best
 
 
 def _is_same_process(known, endpoint):
--- a/chervilspindle/routing/policy_test.py
+++ b/chervilspindle/routing/policy_test.py
@@ -106,7 +106,7 @@
     assert selection.compute_cost(health, VIEW, 5.0) > before + 100.0
     later = 5.0 + selection.FAILURE_MEMORY_S
     assert selection.compute_cost(health, VIEW, later) == before
-    selection.note_answer(health, selection.FIRST_GUESS_MS, later)
+    selection.note_answer(health, selection.INITIAL_ANSWER_MS, later)
     assert health.failures == 0
 
 
--- a/chervilspindle/routing/selection.py
+++ b/chervilspindle/routing/selection.py
@@ -9,7 +9,7 @@
 import math
 import typing
 
-FIRST_GUESS_MS = 10.0  # service time before the first answer of any
+INITIAL_ANSWER_MS = 10.0  # service time before the first answer of any
 SMOOTHING = 0.1  # least weight of a new sample
 # What an answer took says less the longer ago it was: troubles of endpoints
 # last some seconds.
@@ -156,7 +156,7 @@
     health: Health,
     view: CandidateState,
     now: float,
-    best_ms: float = FIRST_GUESS_MS,
+    best_ms: float = INITIAL_ANSWER_MS,
 ) -> float:
     """Return the expected time to an answer and its penalties, in ms."""
     usual_ms = estimate_usual(health, best_ms, now)
