--- a/chervilspindle/routing/endpoints.py
+++ b/chervilspindle/routing/endpoints.py
@@ -174,7 +174,7 @@
     """Return the least typical time of some endpoints, in ms."""
     best = math.inf
     for target in targets:
-        typical = target.health.typical_ms
+        typical = target.health.baseline_ms
         if typical is not None and typical < best:
             best = typical
     return selection.INITIAL_ANSWER_MS if best == math.inf else best
--- a/chervilspindle/routing/selection.py
+++ b/chervilspindle/routing/selection.py
@@ -67,7 +67,7 @@
     def __init__(self, slots: int):
         self.usual_ms = None
         self.usual_s = 0.0
-        self.typical_ms = None
+        self.baseline_ms = None
         self.load = 0.0
         self.load_s = 0.0
         self.slots = max(1, slots)
@@ -104,15 +104,15 @@
     usual = health.usual_ms
     if usual is None:
         health.usual_ms = took_ms
-        health.typical_ms = took_ms
+        health.baseline_ms = took_ms
     else:
         elapsed = now - health.usual_s
         weight = max(SMOOTHING, 1.0 - math.exp(-elapsed / USUAL_MEMORY_S))
         bounded = min(took_ms, 3.0 * usual + 5.0)
         health.usual_ms = usual + weight * (bounded - usual)
         weight = 1.0 - math.exp(-elapsed / TYPICAL_MEMORY_S)
-        bounded = min(took_ms, 2.0 * health.typical_ms)
-        health.typical_ms += weight * (bounded - health.typical_ms)
+        bounded = min(took_ms, 2.0 * health.baseline_ms)
+        health.baseline_ms += weight * (bounded - health.baseline_ms)
     health.usual_s = now
     health.failures = 0
 
