--- a/chervilspindle/routing/merge.py
+++ b/chervilspindle/routing/merge.py
@@ -1,4 +1,4 @@
-"""Merges the records of shards to the greatest of all."""
+"""Merging of the records of shards into the top k."""
 
 import heapq
 
@@ -6,17 +6,17 @@
 
 
 def split_records(body: bytes) -> list[bytes]:
-    """Split a part into records; a shorter remainder is not a record."""
+    """Split a part into records; a shorter remainder is ignored."""
     end = len(body) - len(body) % RECORD_BYTES
     return [body[i : i + RECORD_BYTES] for i in range(0, end, RECORD_BYTES)]
 
 
 def merge_top(bodies, count: int) -> bytes:
-    """Return the greatest `count` records of all parts, greatest first.
+    """Return the `count` greatest records of all parts, in descending order.
 
-    Records are compared byte by byte, and equal ones all count.
+    Records are compared as bytes; duplicates are kept.
     """
-    found = []
+    records = []
     for body in bodies:
-        found.extend(split_records(body))
-    return b"".join(heapq.nlargest(count, found))
+        records.extend(split_records(body))
+    return b"".join(heapq.nlargest(count, records))
--- a/chervilspindle/routing/part_merging.py
+++ b/chervilspindle/routing/part_merging.py
@@ -1,8 +1,8 @@
-"""Parts of an answer: sets of shards that are answered together.
+"""Collecting and merging of part sets.
 
-A relay merges the parts of its shards to their greatest records. Such a set
-can only be used or left out whole: the records of one shard can't be taken
-out of it again.
+A part set is the merged answer of one or more shards. A relay reduces the
+parts of its shards to their greatest records, so that a part set can only be
+used as a whole: the records of one shard can't be removed from it.
 """
 
 from chervilspindle.routing import merge
@@ -12,42 +12,48 @@
 def add_part_set(
     part_set_by_service: dict, new: messages.PartSet
 ) -> tuple[str, ...]:
-    """Take in parts unless more shards would be lost by it than gained.
+    """Add a part set if that increases the number of covered shards.
 
-    A shard that was sent twice may be answered twice; only one of its
-    answers may count. Sets that overlap a new one are dropped for it when
-    the new one covers more.
+    A shard that was sent twice may be answered twice, but may count only
+    once. Sets that overlap the new one are dropped if the new one covers
+    more shards than all of them together.
+
+    Parameters
+    ----------
+    part_set_by_service : dict of str to messages.PartSet
+        Updated in place.
+    new : messages.PartSet
 
     Returns
     -------
     tuple of str
-        Shards that are covered now and were not before.
+        Newly covered shards.
     """
     if len(new.services) == 1 and new.services[0] not in part_set_by_service:
         part_set_by_service[new.services[0]] = new
         return new.services
     overlapping = {}
     for service in new.services:
-        held = part_set_by_service.get(service)
-        if held is not None:
-            overlapping[held.services] = held
-    lost = sum(len(held.services) for held in overlapping.values())
-    if overlapping and len(new.services) <= lost:
+        part_set = part_set_by_service.get(service)
+        if part_set is not None:
+            overlapping[part_set.services] = part_set
+    replaced = sum(len(part_set.services) for part_set in overlapping.values())
+    if overlapping and len(new.services) <= replaced:
         return ()
-    before = set()
-    for held in overlapping.values():
-        before.update(held.services)
-        for service in held.services:
+    covered_before = set()
+    for part_set in overlapping.values():
+        covered_before.update(part_set.services)
+        for service in part_set.services:
             del part_set_by_service[service]
     for service in new.services:
         part_set_by_service[service] = new
-    if not before:
+    if not covered_before:
         return new.services
-    return tuple(s for s in new.services if s not in before)
+    return tuple(s for s in new.services if s not in covered_before)
 
 
 def merge_parts(part_sets, top_k: int) -> messages.PartSet:
-    """Merge sets of parts to one, with the greatest records of all."""
+    """Merge part sets into one with the `top_k` greatest records."""
     return messages.PartSet(
         tuple(s for p in part_sets for s in p.services),
         b", ".join(p.stamps for p in part_sets),
