--- a/chervilspindle/routing/contexts.py
+++ b/chervilspindle/routing/contexts.py
@@ -1,4 +1,4 @@
-"""Builds what all routed requests of a process share."""
+"""Building of the context that all routed requests of a process share."""
 
 import random
 import typing
@@ -12,13 +12,13 @@
 
 
 class VmProfile(typing.NamedTuple):
-    """Where an entry runs, and what it has there.
+    """Location and resources of the VM of an entry.
 
     Parameters
     ----------
     vm_id, zone : str
     core_share : float
-        Part of a core that the process may use.
+        Share of a core that the process may use.
     link_mbps : float
         Bandwidth of the VM's link, in Mbit/s.
     """
@@ -31,7 +31,7 @@
 
 def build_context(
     loop,
-    place: VmProfile,
+    profile: VmProfile,
     header_names: endpoint_calls.HeaderNames,
     rule: retry_budget.Rule,
     network,
@@ -43,29 +43,29 @@
     Parameters
     ----------
     loop : asyncio.AbstractEventLoop
-    place : Place
-    header_names : forwarding.HeaderNames
+    profile : VmProfile
+    header_names : endpoint_calls.HeaderNames
     rule : retry_budget.Rule
     network : PeerNetwork
-        Links to other entries.
+        Connections to other entries.
     metrics : RoutingMetrics
     seed : str
-        Of the random numbers.
+        Seed of the random number generator.
     """
-    names = endpoint_calls.build_names(header_names)
+    names = endpoint_calls.encode_header_names(header_names)
     generator = random.Random(seed)
     table = endpoints.EndpointTable(
         loop,
-        place.zone,
+        profile.zone,
         names.lower.request_id,
         generator,
         metrics.count_event,
     )
     relay_table = relays.RelayTable(
-        place.vm_id,
-        place.zone,
-        place.core_share,
-        place.link_mbps,
+        profile.vm_id,
+        profile.zone,
+        profile.core_share,
+        profile.link_mbps,
         loop.time,
     )
     return endpoint_calls.Context(
@@ -73,7 +73,7 @@
         names,
         table,
         retry_budget.RetryBudget(rule, loop.time),
-        endpoint_calls.LatencyEstimates(place.core_share, place.link_mbps),
+        endpoint_calls.LatencyEstimates(profile.core_share, profile.link_mbps),
         metrics,
         generator,
         relaying.RelayClient(network, relay_table),
--- a/chervilspindle/routing/data_path_test.py
+++ b/chervilspindle/routing/data_path_test.py
@@ -1,4 +1,4 @@
-"""Tests of the data path against stand-in endpoints, over real sockets."""
+"""Tests of routed requests against stand-in endpoints, over real sockets."""
 
 import asyncio
 import gc
@@ -67,13 +67,13 @@
 
 
 def find_address():
-    """Return a free address that no other test or client uses.
+    """Return a free port on a random loopback address.
 
-    On 127.0.0.1 a port that was free a moment ago may have gone to another
-    test process or to an outgoing connection of one.
+    On 127.0.0.1, the port could be taken by another test process, or by one
+    of its outgoing connections, before it is bound here.
     """
-    draw = random.SystemRandom()
-    host = ".".join(["127", *(str(draw.randrange(1, 255)) for _ in "abc")])
+    rng = random.SystemRandom()
+    host = ".".join(["127", *(str(rng.randrange(1, 255)) for _ in "abc")])
     with socket.socket() as probe:
         probe.bind((host, 0))
         return f"{host}:{probe.getsockname()[1]}"
@@ -148,7 +148,7 @@
             backend.stop()
 
     async def ask(self, path, request_id="id-1", method="GET", body=b""):
-        """Send one request; returns status, headers and body."""
+        """Send one request; return status, headers and body."""
         host, port = self.address.split(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         headers = (
@@ -173,16 +173,16 @@
 
 
 def play_world(build_world, test, limit_s):
-    """Run a coroutine function of a world within some seconds.
+    """Run a coroutine function with a started world, within a time limit.
 
-    A full collection of a test process's garbage takes 80 to 180 ms, in which
-    requests that were sent together would be read apart.
+    Garbage collection is off: a full collection of a test process takes 80
+    to 180 ms, enough to separate requests that were sent together.
     """
     gc.collect()
     gc.disable()
     loop = uvloop.new_event_loop()
 
-    async def whole():
+    async def run():
         world = build_world(loop)
         await world.start()
         try:
@@ -192,14 +192,14 @@
             await asyncio.sleep(0.01)
 
     try:
-        loop.run_until_complete(asyncio.wait_for(whole(), limit_s))
+        loop.run_until_complete(asyncio.wait_for(run(), limit_s))
     finally:
         gc.enable()
     loop.close()
 
 
 @pytest.fixture
-def play():
+def run_test():
     def run(test, **options):
         play_world(lambda loop: World(loop, **options), test, 10)
 
@@ -215,7 +215,7 @@
     return int(headers[platform_names.HEADERS.missing_parts.lower()])
 
 
-def test_an_answer_holds_the_greatest_records_of_all_shards(play):
+def test_an_answer_has_the_greatest_records_of_all_shards(run_test):
     async def test(world):
         status, headers, body = await world.ask("/all/x?q=1")
         parts = [
@@ -227,51 +227,51 @@
         run = world.list_runs("shard-0")[0]
         assert (run.method, run.target) == ("GET", "/all/x?q=1")
 
-    play(test)
+    run_test(test)
 
 
-def test_a_paused_endpoint_is_hedged_within_the_objective(play):
+def test_shards_on_paused_endpoints_are_hedged_within_the_objective(run_test):
     async def test(world):
         await world.ask("/all/x", "warm")
         for service in SHARDS[:2]:
             for zone in "ab":
                 world.backend_by_id[f"{service}-{zone}"].runs.clear()
             world.backend_by_id[f"{service}-a"].paused = True
-        begun = world.loop.time()
+        started_s = world.loop.time()
         status, headers, _ = await world.ask("/all/x", "id-2")
         assert status == 200 and read_missing(headers) == 0
-        assert world.loop.time() - begun < 0.1
+        assert world.loop.time() - started_s < 0.1
 
-    play(test)
+    run_test(test)
 
 
-def test_without_a_replica_the_answer_says_what_is_missing(play):
+def test_an_answer_counts_shards_without_a_live_replica_as_missing(run_test):
     async def test(world):
         for zone in "ab":
             world.backend_by_id[f"shard-0-{zone}"].paused = True
-        begun = world.loop.time()
+        started_s = world.loop.time()
         status, headers, _ = await world.ask("/all/x")
         assert status == 200 and read_missing(headers) == 1
         assert len(read_stamps(headers)) == 3
-        assert world.loop.time() - begun < 0.1
+        assert world.loop.time() - started_s < 0.1
 
-    play(test)
+    run_test(test)
 
 
-def test_too_few_parts_are_no_answer(play):
+def test_a_query_below_the_required_coverage_fails(run_test):
     async def test(world):
         for service in SHARDS[:2]:
             for zone in "ab":
                 world.backend_by_id[f"{service}-{zone}"].failing = True
-        begun = world.loop.time()
+        started_s = world.loop.time()
         status, headers, _ = await world.ask("/all/x")
         assert status == 502
-        assert world.loop.time() - begun < 0.2
+        assert world.loop.time() - started_s < 0.2
 
-    play(test)
+    run_test(test)
 
 
-def test_shards_without_endpoints_are_refused_at_once_and_not_run(play):
+def test_a_query_is_refused_if_too_few_shards_have_endpoints(run_test):
     async def test(world):
         for service in SHARDS[:2]:
             for zone in "ab":
@@ -280,10 +280,10 @@
         assert status == 503 and "retry-after" in headers
         assert not any(world.list_runs(s) for s in SHARDS)
 
-    play(test)
+    run_test(test)
 
 
-def test_a_refusal_midway_through_sending_sends_nothing_more(play):
+def test_a_refusal_during_fan_out_stops_sending(run_test):
     async def test(world):
         for service in SHARDS[:2]:
             for target in world.table.targets_by_service[service].values():
@@ -293,11 +293,11 @@
         assert status == 503
         assert not any(world.list_runs(s) for s in SHARDS)
 
-    play(test)
+    run_test(test)
 
 
 def pause_service(world, service):
-    """Pause both endpoints, with one connection each; return them."""
+    """Pause both endpoints and allow one connection to each; return them."""
     paused = [world.backend_by_id[f"{service}-{zone}"] for zone in "ab"]
     for backend in paused:
         backend.paused = True
@@ -306,26 +306,28 @@
     return paused
 
 
-def test_a_request_that_was_never_sent_is_refused_as_not_run(play):
+def test_a_request_still_queued_at_its_deadline_is_refused_as_not_run(
+    run_test,
+):
     async def test(world):
-        desks = pause_service(world, "desk")
-        asking = [
+        paused = pause_service(world, "desk")
+        tasks = [
             world.loop.create_task(
                 world.ask("/once/x", f"id-{number}", "POST", b"b")
             )
             for number in range(4)
         ]
-        statuses = sorted([(await task)[0] for task in asking])
+        statuses = sorted([(await task)[0] for task in tasks])
         assert statuses == [503, 503, 504, 504]
-        for backend in desks:
+        for backend in paused:
             backend.resume()
         await asyncio.sleep(0.05)
         assert len(world.list_runs("desk")) == 2
 
-    play(test)
+    run_test(test)
 
 
-def test_a_request_with_hardly_any_time_left_is_not_sent(play):
+def test_a_request_close_to_its_deadline_is_not_sent(run_test):
     async def test(world):
         pool = world.table.targets_by_service["desk"]["desk-a"].pool
         pool.max_connections = 1
@@ -353,25 +355,25 @@
         assert endings[b"late"] is endpoint_http.Ending.NOT_SENT
         assert [r.request_id for r in world.list_runs("desk")] == ["first"]
 
-    play(test)
+    run_test(test)
 
 
-def test_what_still_waits_for_a_connection_is_not_sent_after_the_answer(play):
+def test_sends_waiting_for_a_connection_are_withdrawn_at_the_answer(run_test):
     async def test(world):
-        busy = pause_service(world, "shard-0")
+        paused = pause_service(world, "shard-0")
         for request_id in ("id-1", "id-2"):
             status, headers, _ = await world.ask("/all/x", request_id)
             assert status == 200 and read_missing(headers) == 1
-        for backend in busy:
+        for backend in paused:
             backend.resume()
         await asyncio.sleep(0.1)
-        found = {run.request_id for run in world.list_runs("shard-0")}
-        assert found == {"id-1"}
+        request_ids = {run.request_id for run in world.list_runs("shard-0")}
+        assert request_ids == {"id-1"}
 
-    play(test)
+    run_test(test)
 
 
-def test_a_request_passes_through_unchanged(play):
+def test_a_request_is_forwarded_unchanged(run_test):
     async def test(world):
         status, headers, body = await world.ask(
             "/one/a%20b?x=%2F", "id-9", "POST", b"\x00payload"
@@ -382,10 +384,10 @@
         assert body == world.backend_by_id["desk-a"].build_body(b"id-9")
         assert platform_names.HEADERS.stamp.lower() in headers
 
-    play(test)
+    run_test(test)
 
 
-def test_what_may_run_once_is_not_sent_again_after_a_lost_answer(play):
+def test_a_non_idempotent_request_is_not_resent_after_a_lost_answer(run_test):
     async def test(world):
         for zone in "ab":
             world.backend_by_id[f"desk-{zone}"].lose_share = 1.0
@@ -393,20 +395,20 @@
         assert status == 502
         assert len(world.list_runs("desk")) == 1
 
-    play(test)
+    run_test(test)
 
 
-def test_what_may_run_once_is_sent_on_after_a_refusal(play):
+def test_a_non_idempotent_request_is_resent_after_a_refusal(run_test):
     async def test(world):
         world.backend_by_id["desk-a"].refusing = True
         status, _, _ = await world.ask("/once/x", "id-1", "POST", b"b")
         assert status == 200
         assert len(world.list_runs("desk")) == 1
 
-    play(test)
+    run_test(test)
 
 
-def test_a_refusal_by_all_says_that_nothing_ran(play):
+def test_a_request_refused_by_all_endpoints_is_answered_as_not_run(run_test):
     async def test(world):
         for zone in "ab":
             world.backend_by_id[f"desk-{zone}"].refusing = True
@@ -414,32 +416,32 @@
         assert status == 503 and float(headers["retry-after"]) > 0
         assert world.list_runs("desk") == []
 
-    play(test)
+    run_test(test)
 
 
-def test_an_unanswered_request_ends_at_its_timeout(play):
+def test_an_unanswered_request_ends_at_the_route_timeout(run_test):
     async def test(world):
         for zone in "ab":
             world.backend_by_id[f"desk-{zone}"].paused = True
-        begun = world.loop.time()
+        started_s = world.loop.time()
         status, _, _ = await world.ask("/once/x", "id-1", "POST", b"b")
         assert status == 504
-        assert 0.55 < world.loop.time() - begun < 0.75
+        assert 0.55 < world.loop.time() - started_s < 0.75
 
-    play(test)
+    run_test(test)
 
 
-def test_another_endpoint_at_the_address_gets_no_work(play):
+def test_another_endpoint_at_a_known_address_runs_nothing(run_test):
     async def test(world):
         moved = world.backend_by_id["desk-a"]
         moved.endpoint_id = "stranger"
         status, _, _ = await world.ask("/one/x")
         assert status == 200 and moved.runs == []
 
-    play(test)
+    run_test(test)
 
 
-def test_a_failure_keeps_the_status_of_the_endpoint_that_gave_it(play):
+def test_a_failure_is_forwarded_with_the_status_of_the_endpoint(run_test):
     async def test(world):
         for zone in "ab":
             world.backend_by_id[f"desk-{zone}"].failing = True
@@ -447,10 +449,10 @@
         assert (status, body) == (500, b"failed")
         assert platform_names.HEADERS.stamp.lower() in headers
 
-    play(test)
+    run_test(test)
 
 
-def test_a_caller_that_leaves_ends_the_work_for_it(play):
+def test_sends_are_cancelled_after_the_caller_disconnects(run_test):
     async def test(world):
         for zone in "ab":
             world.backend_by_id[f"desk-{zone}"].work_s = 5.0
@@ -463,15 +465,15 @@
         )
         await asyncio.sleep(0.05)
         writer.close()
-        await asyncio.sleep(endpoint_calls.ABANDON_DELAY_S + 0.1)
+        await asyncio.sleep(endpoint_calls.CALLER_LEFT_CANCEL_DELAY_S + 0.1)
         desk = world.backend_by_id["desk-a"].server
         other = world.backend_by_id["desk-b"].server
         assert desk.count_busy() + other.count_busy() == 0
 
-    play(test)
+    run_test(test)
 
 
-def test_paths_and_hosts_without_a_route(play):
+def test_requests_without_a_route_or_a_document(run_test):
     async def test(world):
         status, _, _ = await world.ask("/nowhere/x")
         assert status == 404
@@ -479,23 +481,23 @@
         status, headers, _ = await world.ask("/all/x")
         assert status == 503 and "retry-after" in headers
 
-    play(test)
+    run_test(test)
 
 
-def test_a_failure_of_ours_is_not_blamed_on_the_caller(play):
+def test_an_internal_error_is_answered_with_500(run_test):
     async def test(world):
         def fail(exchange):
-            raise RuntimeError("a fault of ours")
+            raise RuntimeError("internal error")
 
         world.server.handler = fail
         assert (await world.ask("/one/x"))[0] == 500
         world.server.handler = world.entry.handle
         assert (await world.ask("/one/x"))[0] == 200
 
-    play(test)
+    run_test(test)
 
 
-def test_pipelined_requests_are_answered_in_order(play):
+def test_pipelined_requests_are_answered_in_order(run_test):
     async def test(world):
         world.backend_by_id["desk-a"].work_s = 0.05
         host, port = world.address.split(":")
@@ -508,11 +510,11 @@
             )
         for number in range(3):
             _, headers, _ = await read_answer(reader)
-            found = headers[platform_names.HEADERS.request_id.lower()]
-            assert found == f"id-{number}"
+            request_id = headers[platform_names.HEADERS.request_id.lower()]
+            assert request_id == f"id-{number}"
         writer.close()
 
-    play(test)
+    run_test(test)
 
 
 @pytest.mark.parametrize(
@@ -533,31 +535,33 @@
         ),
     ],
 )
-def test_bad_input_is_refused_and_the_entry_lives_on(play, data, status):
+def test_malformed_requests_are_refused_and_later_ones_answered(
+    run_test, data, status
+):
     async def test(world):
         host, port = world.address.split(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(data)
-        found, _, _ = await read_answer(reader)
-        assert found == status
+        answered, _, _ = await read_answer(reader)
+        assert answered == status
         writer.close()
         assert (await world.ask("/one/x"))[0] == 200
 
-    play(test)
+    run_test(test)
 
 
-def test_each_request_leaves_a_line_with_its_id(play, caplog):
+def test_each_request_is_logged_with_its_id(run_test, caplog):
     async def test(world):
         with caplog.at_level(logging.INFO):
             await world.ask("/all/x", "id-77")
 
-    play(test)
+    run_test(test)
     lines = [r for r in caplog.records if r.getMessage() == "request"]
     assert [r.request_id for r in lines] == ["id-77"]
     assert (lines[0].status, lines[0].version) == (200, 3)
 
 
-def test_extra_sends_end_with_the_budget(play):
+def test_extra_sends_are_limited_by_the_budget(run_test):
     async def test(world):
         for service in SHARDS:
             world.backend_by_id[f"{service}-a"].failing = True
@@ -566,11 +570,11 @@
             await world.ask("/all/x", f"id-{number}")
         assert len(world.list_runs("shard-0")) <= 10 + 0.2 * 10 + 4
 
-    play(test, base=4.0)
+    run_test(test, base=4.0)
 
 
-def test_a_query_that_is_late_as_a_whole_is_not_hedged_at_once(play):
-    """Connections that are still being opened made each shard a straggler."""
+def test_a_query_with_all_shards_late_is_not_hedged_at_once(run_test):
+    """Shards were all hedged while connections were still being opened."""
 
     async def test(world):
         await world.ask("/all/x", "warm")
@@ -580,36 +584,36 @@
         await world.ask("/all/x", "id-2")
         assert sum(len(world.list_runs(s)) for s in SHARDS) == len(SHARDS)
 
-    play(test)
+    run_test(test)
 
 
-def state_load(world, endpoint_ids, load):
-    """Let endpoints have stated a load just now."""
+def report_load(world, endpoint_ids, load):
+    """Make endpoints have just reported a load."""
     for endpoint_id in endpoint_ids:
         health = world.table.target_by_id[endpoint_id].health
         now = world.loop.time()
-        # An endpoint counts the request that it answers.
-        selection.note_load(health, load + 1.0, 0, health.slots, now)
+        # A report includes the request that is being answered.
+        selection.record_load(health, load + 1.0, 0, health.slots, now)
 
 
-def test_a_shard_is_not_hedged_to_an_endpoint_with_a_queue(play):
+def test_a_shard_is_not_hedged_to_an_endpoint_without_a_free_slot(run_test):
     async def test(world):
         await world.ask("/all/x", "warm")
         world.backend_by_id["shard-0-a"].paused = True
-        state_load(world, ["shard-0-b"], 5.0)
+        report_load(world, ["shard-0-b"], 5.0)
         world.backend_by_id["shard-0-b"].runs.clear()
         status, headers, _ = await world.ask("/all/x", "id-2")
         assert status == 200 and read_missing(headers) == 1
         assert not world.backend_by_id["shard-0-b"].runs
 
-    play(test)
+    run_test(test)
 
 
-def test_a_crowd_is_refused_in_part_and_what_is_refused_never_runs(play):
+def test_overload_is_shed_in_part_and_shed_queries_never_run(run_test):
     async def test(world):
         statuses = []
         for number in range(10):
-            state_load(world, list(world.table.target_by_id), 4.0)
+            report_load(world, list(world.table.target_by_id), 4.0)
             status, headers, _ = await world.ask("/all/x", f"id-{number}")
             statuses.append(status)
             if status == 503:
@@ -618,26 +622,26 @@
         assert 4 <= statuses.count(503) <= 6
         assert len(ran) == statuses.count(200) == 10 - statuses.count(503)
 
-    play(test)
+    run_test(test)
 
 
-def test_a_refused_query_earns_no_extra_sends(play):
+def test_a_refused_query_adds_nothing_to_the_budget(run_test):
     async def test(world):
         budget = world.entry.context.budget
         statuses = []
         for number in range(6):
-            state_load(world, list(world.table.target_by_id), 4.0)
+            report_load(world, list(world.table.target_by_id), 4.0)
             status, _, _ = await world.ask("/all/x", f"id-{number}")
             statuses.append(status)
         assert budget.read_peak_requests() == statuses.count(200) < 6
 
-    play(test)
+    run_test(test)
 
 
-def test_a_service_that_nobody_announced_has_no_place(play):
+def test_an_unknown_service_has_no_free_slot(run_test):
     async def test(world):
         assert world.table.has_place("desk", ())
         assert not world.table.has_place("desk", ("desk-a", "desk-b"))
-        assert not world.table.has_place("unheard-of", ())
+        assert not world.table.has_place("unknown", ())
 
-    play(test)
+    run_test(test)
--- a/chervilspindle/routing/direct_dispatch.py
+++ b/chervilspindle/routing/direct_dispatch.py
@@ -1,8 +1,8 @@
-"""Sends some shards of a query to one endpoint each.
+"""Dispatch of shards from this process to one endpoint each.
 
-Runs at the entry of the query itself, or at a relay for another entry. It
-never sends a shard twice: hedges and retries are decided where the query
-and its budget are known.
+Used by the entry of a query, and by a relay on behalf of another entry. A
+dispatch never sends a shard twice: hedges and retries are decided by the
+entry, which knows the whole query and its budget.
 """
 
 from chervilspindle.routing import endpoint_calls
@@ -10,22 +10,22 @@
 
 
 class DirectDispatch:
-    """Shards that are sent from this process.
+    """Shards of one query that are sent from this process.
 
     Parameters
     ----------
-    context : forwarding.Context
-    message : forwarding.Message
+    context : endpoint_calls.Context
+    message : endpoint_calls.RequestTemplate
     request_id : bytes
     deadline_s : float
         Loop time until which endpoints may answer.
     listener
-        Gets ``take_part(query, service, stamp, body, took_ms)``,
-        ``lose_part(query, loss)`` and ``note_endpoint(query, service,
-        endpoint_id)``.
+        Gets ``on_part(dispatch, service, stamp, body, took_ms)``,
+        ``on_part_lost(dispatch, loss)`` and ``on_endpoint_chosen(dispatch,
+        service, endpoint_id)``.
     """
 
-    presumed_lost = False  # endpoints are judged one by one
+    presumed_lost = False  # only relays are presumed lost as a whole
 
     def __init__(self, context, message, request_id, deadline_s, listener):
         self.context = context
@@ -37,7 +37,7 @@
         self.stopped = False
 
     def start(self, services, tried_by_service):
-        """Send each shard to the endpoint that costs the least."""
+        """Send each shard to the endpoint with the lowest cost."""
         table = self.context.table
         now = self.context.loop.time()
         for service in services:
@@ -55,7 +55,7 @@
                 endpoint_id,
                 self.deadline_s,
                 now,
-                self._end_call,
+                self._on_call_ended,
             )
             call.context = (service, target)
             self.call_by_service[service] = call
@@ -63,39 +63,41 @@
             target.pool.submit(call)
 
     def awaits_report(self) -> bool:
-        """Tell whether nothing is known of what was sent."""
+        """Tell whether a relay has yet to report; never without a relay."""
         return False
 
     def may_have_run(self) -> bool:
-        """Tell whether an endpoint may be at work."""
+        """Tell whether an endpoint may be running a shard."""
         return any(
             c.connection is not None for c in self.call_by_service.values()
         )
 
     def stop(self):
-        """Send nothing more; what was sent ends by itself."""
+        """Withdraw what is not sent yet; requests in progress run on."""
         self.stopped = True
         for call in list(self.call_by_service.values()):
             if call.connection is None:
                 call.cancel()
 
     def cancel(self):
-        """Give up what is in progress."""
+        """Cancel what is in progress."""
         self.stopped = True
         for call in list(self.call_by_service.values()):
             call.cancel()
 
-    def _end_call(self, call, answer):
+    def _on_call_ended(self, call, answer):
         service, target = call.context
         del self.call_by_service[service]
         context = self.context
-        verdict = endpoint_calls.take_answer(target, call, answer, context)
-        if verdict.good:
+        outcome = endpoint_calls.handle_answer(target, call, answer, context)
+        if outcome.succeeded:
             took_ms = (context.loop.time() - call.sent_s) * 1000.0
             stamp = answer.get_header(context.names.lower.stamp)
             self.listener.take_part(self, service, stamp, answer.body, took_ms)
             return
-        context.metrics.count_failure(verdict.reason)
+        context.metrics.count_failure(outcome.reason)
         endpoint_id = target.endpoint.endpoint_id
-        loss = messages.Loss(service, endpoint_id, verdict.reason, verdict.ran)
+        loss = messages.Loss(
+            service, endpoint_id, outcome.reason, outcome.may_have_run
+        )
         self.listener.lose_part(self, loss)
--- a/chervilspindle/routing/endpoint_calls.py
+++ b/chervilspindle/routing/endpoint_calls.py
@@ -1,4 +1,7 @@
-"""Sends to endpoints: what all routed requests have in common."""
+"""Calls to endpoints: building requests and evaluating answers.
+
+Also holds the context that all routed requests of a process share.
+"""
 
 import logging
 import typing
@@ -13,33 +16,38 @@
 
 LOGGER = logging.getLogger(__name__)
 
-NEVER_SENT = (
+# Endings in which the request certainly never reached the endpoint.
+NOT_SENT_ENDINGS = (
     endpoint_http.Ending.NOT_SENT,
     endpoint_http.Ending.WITHDRAWN,
 )
-OWN_CHOICE = (
+# Endings caused by this process, which say nothing about the endpoint.
+LOCAL_ENDINGS = (
     endpoint_http.Ending.CANCELLED,
     endpoint_http.Ending.WITHDRAWN,
 )
-GIVE_UP_MARGIN_S = 0.03  # lets an endpoint's own refusal at its deadline in
-ABANDON_DELAY_S = 0.3  # work that ends sooner costs less than a connection
+# Time after the deadline for an endpoint's own refusal to arrive.
+DEADLINE_GRACE_S = 0.03
+# Cancelling costs a connection, which is more than work that ends within
+# this time.
+CALLER_LEFT_CANCEL_DELAY_S = 0.3
 
 
 class HeaderNames(typing.NamedTuple):
-    """Names of the headers between callers, this system and endpoints.
+    """Names of the headers used with callers and endpoints.
 
     Parameters
     ----------
     request_id : str
-        Id of one attempt of a caller.
+        Id of one attempt by a caller.
     deadline_ms : str
         How long the sender waits.
     stamp : str
         Signature of an endpoint's answer.
     expected_endpoint : str
-        Endpoint that alone may run a request.
+        Id of the only endpoint that may run the request.
     load : str
-        Load of an endpoint: running, waiting, slots.
+        Load of an endpoint: running, waiting and slots.
     not_run : str
         States that an endpoint did not run a request.
     part_stamps : str
@@ -58,64 +66,64 @@
     missing_parts: str
 
 
-class Names(typing.NamedTuple):
-    """`HeaderNames` as sent, and in lower case as compared."""
+class EncodedHeaderNames(typing.NamedTuple):
+    """`HeaderNames` as bytes: as sent, and in lower case to compare."""
 
     sent: HeaderNames
     lower: HeaderNames
 
 
-def build_names(names: HeaderNames) -> Names:
-    """Encode header names."""
-    return Names(
+def encode_header_names(names: HeaderNames) -> EncodedHeaderNames:
+    """Encode header names to bytes."""
+    return EncodedHeaderNames(
         HeaderNames(*(n.encode() for n in names)),
         HeaderNames(*(n.lower().encode() for n in names)),
     )
 
 
 class LatencyEstimates:
-    """How this process keeps up; a mutable row.
+    """Latencies of parts and of this process, for `policy`; mutable.
 
     Attributes
     ----------
-    usual_ms_by_route : dict of str to float
-        Usual time of the parts of each route.
+    part_ms_by_route : dict of str to float
+        Smoothed part time of each route.
     lag_ms : float
-        How late answers that are due at some time usually are.
+        Smoothed delay of answer timers in this process.
 
     Parameters
     ----------
     core_share : float
-        Part of a core that the process has.
+        Share of a core that the process may use.
     link_mbps : float
         Bandwidth of the VM's link, in Mbit/s.
     """
 
-    __slots__ = ("usual_ms_by_route", "lag_ms", "core_share", "link_mbps")
+    __slots__ = ("part_ms_by_route", "lag_ms", "core_share", "link_mbps")
 
     def __init__(self, core_share: float = 1.0, link_mbps: float = 1000.0):
         self.part_ms_by_route = {}
-        self.lag_ms = policy.FIRST_LAG_MS / core_share
+        self.lag_ms = policy.INITIAL_LAG_CORE_MS / core_share
         self.core_share = core_share
         self.link_mbps = link_mbps
 
-    def compute_answer_ms(self, route: documents.Route) -> float:
-        """Return how long it takes to build and send an answer, in ms."""
-        return policy.compute_answer_ms(
+    def estimate_answer_send_ms(self, route: documents.Route) -> float:
+        """Return the time to build and send an answer, in ms."""
+        return policy.estimate_answer_send_ms(
             len(route.shards), self.core_share, self.link_mbps
         )
 
 
 class Context(typing.NamedTuple):
-    """What all routed requests of a process share.
+    """State and services shared by all routed requests of a process.
 
     Parameters
     ----------
     loop : asyncio.AbstractEventLoop
-    names : Names
+    names : EncodedHeaderNames
     table : endpoints.EndpointTable
     budget : retry_budget.RetryBudget
-    pace : Pace
+    latency_estimates : LatencyEstimates
     metrics : RoutingMetrics
     random : random.Random
     relays : relaying.RelayClient
@@ -123,7 +131,7 @@
     """
 
     loop: object
-    names: Names
+    names: EncodedHeaderNames
     table: endpoints.EndpointTable
     budget: retry_budget.RetryBudget
     latency_estimates: LatencyEstimates
@@ -133,15 +141,15 @@
     shedder: object
 
 
-class Incoming(typing.NamedTuple):
-    """A caller's request with its route.
+class IncomingRequest(typing.NamedTuple):
+    """A caller's request and its route.
 
     Parameters
     ----------
     exchange : http_server.Exchange
     route : documents.Route
     version : int
-        Version of the document that named the route.
+        Version of the document that the route is from.
     request_id : bytes
     caller_ms : float or None
         How long the caller waits.
@@ -155,12 +163,12 @@
 
 
 class RequestTemplate:
-    """The request as endpoints get it, but for what differs by send.
+    """A request to endpoints without the headers that differ by send.
 
     Parameters
     ----------
     head, tail : bytes
-        What stands before and after that.
+        The request before and after these headers.
     names : HeaderNames
         As sent.
     """
@@ -172,24 +180,26 @@
         self.tail = tail
         self.names = names
 
-    def build(self, endpoint_id: str, left_ms: float) -> bytes:
-        """Return the bytes for one endpoint."""
+    def build(self, endpoint_id: str, remaining_ms: float) -> bytes:
+        """Return the request to one endpoint as bytes."""
         return b"%s%s: %d\r\n%s: %s%s" % (
             self.head,
             self.names.deadline_ms,
-            max(1, int(left_ms)),
+            max(1, int(remaining_ms)),
             self.names.expected_endpoint,
             endpoint_id.encode(),
             self.tail,
         )
 
 
-def build_message(incoming: Incoming, names: Names) -> RequestTemplate:
-    """Return a caller's request as endpoints get it."""
+def build_message(
+    incoming: IncomingRequest, names: EncodedHeaderNames
+) -> RequestTemplate:
+    """Return the template for sending a caller's request to endpoints."""
     request = incoming.exchange.request
-    kept = select_headers(request.headers, names.lower)
+    forwarded = select_headers(request.headers, names.lower)
     lines = [b"%s %s HTTP/1.1\r\n" % (request.method, request.target)]
-    lines += [b"%s: %s\r\n" % header for header in kept]
+    lines += [b"%s: %s\r\n" % header for header in forwarded]
     if request.body or request.method in (b"POST", b"PUT", b"PATCH"):
         lines.append(b"Content-Length: %d\r\n" % len(request.body))
     lines.append(b"%s: %s\r\n" % (names.sent.request_id, incoming.request_id))
@@ -198,7 +208,7 @@
 
 
 def select_headers(headers, lower: HeaderNames):
-    """Return the headers that are passed on."""
+    """Return the headers that are forwarded to endpoints."""
     dropped = set(http_server.HOP_BY_HOP)
     dropped.update(
         (lower.request_id, lower.deadline_ms, lower.expected_endpoint)
@@ -209,41 +219,43 @@
     return tuple(h for h in headers if h[0] not in dropped)
 
 
-class Verdict(typing.NamedTuple):
-    """What an endpoint's answer means for a request.
+class SendOutcome(typing.NamedTuple):
+    """Result of one send to an endpoint.
 
     Parameters
     ----------
-    good : bool
-    ran : bool
+    succeeded : bool
+    may_have_run : bool
         False only if the endpoint certainly has not run the request.
     reason : str
-        For logs and counters.
+        For logs and metrics.
     """
 
-    good: bool
-    ran: bool
+    succeeded: bool
+    may_have_run: bool
     reason: str
 
 
-def judge_answer(answer: endpoint_http.Answer, lower: HeaderNames) -> Verdict:
-    """Judge the end of one send."""
+def classify_answer(
+    answer: endpoint_http.Answer, lower: HeaderNames
+) -> SendOutcome:
+    """Classify the end of one send."""
     ending = answer.ending
-    if ending in NEVER_SENT:
-        return Verdict(False, False, ending.value)
+    if ending in NOT_SENT_ENDINGS:
+        return SendOutcome(False, False, ending.value)
     if ending is not endpoint_http.Ending.ANSWERED:
-        return Verdict(False, True, ending.value)
+        return SendOutcome(False, True, ending.value)
     if answer.status == 421:
-        return Verdict(False, False, "other_endpoint")
+        return SendOutcome(False, False, "other_endpoint")
     if answer.get_header(lower.not_run) is not None:
-        return Verdict(False, False, f"refused_{answer.status}")
+        return SendOutcome(False, False, f"refused_{answer.status}")
     if answer.get_header(b"content-encoding") not in (None, b"identity"):
-        return Verdict(False, True, "encoded")
+        return SendOutcome(False, True, "encoded")
     if 200 <= answer.status < 300:
         if answer.get_header(lower.stamp) is None:
-            return Verdict(False, True, "unsigned")
-        return Verdict(True, True, "ok")
-    return Verdict(False, True, f"status_{answer.status}")
+            return SendOutcome(False, True, "unsigned")
+        return SendOutcome(True, True, "ok")
+    return SendOutcome(False, True, f"status_{answer.status}")
 
 
 def build_call(
@@ -255,24 +267,24 @@
     on_end,
     reusable: bool = True,
 ) -> endpoint_http.Call:
-    """Build a send to one endpoint with what is left of the time."""
+    """Build the call to one endpoint with the remaining time."""
     return endpoint_http.Call(
         message.build(endpoint_id, (deadline_s - now) * 1000.0),
         request_id,
-        deadline_s + GIVE_UP_MARGIN_S,
+        deadline_s + DEADLINE_GRACE_S,
         on_end,
         reusable,
     )
 
 
-def take_answer(
+def handle_answer(
     target: endpoints.Target,
     call: endpoint_http.Call,
     answer: endpoint_http.Answer,
     context: Context,
-) -> Verdict:
-    """Judge the end of a send and take in what it says of its endpoint."""
-    verdict = judge_answer(answer, context.names.lower)
+) -> SendOutcome:
+    """Classify the end of a send and update the endpoint's health."""
+    outcome = classify_answer(answer, context.names.lower)
     now = context.loop.time()
     health = target.health
     lower = context.names.lower
@@ -280,18 +292,18 @@
     if load is not None:
         parsed = parse_load(load)
         if parsed is not None:
-            selection.note_load(health, *parsed, now)
-    if verdict.good:
-        selection.note_answer(health, (now - call.sent_s) * 1000.0, now)
-    elif verdict.reason == "other_endpoint":
-        health.refused = True
-    elif answer.ending not in OWN_CHOICE:
-        selection.note_failure(health, now)
-    return verdict
+            selection.record_load(health, *parsed, now)
+    if outcome.succeeded:
+        selection.record_success(health, (now - call.sent_s) * 1000.0, now)
+    elif outcome.reason == "other_endpoint":
+        health.misdirected = True
+    elif answer.ending not in LOCAL_ENDINGS:
+        selection.record_failure(health, now)
+    return outcome
 
 
 def parse_load(value: bytes) -> tuple[int, int, int] | None:
-    """Parse running, waiting and slots; None if it can't be read."""
+    """Parse running, waiting and slots; None if malformed."""
     try:
         running, waiting, slots = map(int, value.split(b","))
     except ValueError:
--- a/chervilspindle/routing/entry.py
+++ b/chervilspindle/routing/entry.py
@@ -1,8 +1,8 @@
-"""The entry of routed requests: reads a request, finds its route, starts it.
+"""Entry of routed requests: finds the route of a request and starts it.
 
-One entry holds one document and one table of endpoints, both kept current
-by a follower of control. Without a document it refuses everything: it could
-not tell an unknown path from one that it has not heard of.
+An entry has one routing document and one table of endpoints; both are kept
+current by a subscription to control. Without a document it refuses all
+requests, since it can't tell unknown paths from those not yet received.
 """
 
 import logging
@@ -16,16 +16,17 @@
 
 LOGGER = logging.getLogger(__name__)
 
-READY_AFTER_S = 0.8  # usual time from an entry's start to its first document
-LEAST_RETRY_AFTER_S = 0.1
+# Typical time from the start of an entry to its first document.
+FIRST_DOCUMENT_S = 0.8
+MIN_RETRY_AFTER_S = 0.1
 
 
 class RoutingEntry:
-    """Serves callers of one process.
+    """Handles the requests of callers to one process.
 
     Parameters
     ----------
-    context : forwarding.Context
+    context : endpoint_calls.Context
     """
 
     def __init__(self, context: endpoint_calls.Context):
@@ -36,7 +37,13 @@
         self.started_s = context.loop.time()
 
     def update_document(self, document: documents.Document) -> bool:
-        """Put a document in force, unless a newer one is."""
+        """Activate a document if it is newer than the active one.
+
+        Returns
+        -------
+        bool
+            Whether it was activated.
+        """
         if self.document is not None:
             if document.version <= self.document.version:
                 return False
@@ -50,11 +57,11 @@
         return True
 
     def is_ready(self) -> bool:
-        """Tell whether callers should be sent here."""
+        """Tell whether callers should use this entry."""
         return self.document is not None and not self.draining
 
     def read_limits(self) -> http_server.ServerLimits:
-        """Return the bounds on callers."""
+        """Return the limits on connections and requests of callers."""
         limits = documents.Limits()
         if self.document is not None:
             limits = self.document.limits
@@ -63,28 +70,30 @@
     def handle(self, exchange: http_server.Exchange):
         """Start one request."""
         if self.routes is None:
-            left = self.started_s + READY_AFTER_S - self.context.loop.time()
-            retry_after = b"%.2f" % max(LEAST_RETRY_AFTER_S, left)
+            remaining_s = (
+                self.started_s + FIRST_DOCUMENT_S - self.context.loop.time()
+            )
+            retry_after = b"%.2f" % max(MIN_RETRY_AFTER_S, remaining_s)
             headers = ((b"Retry-After", retry_after),)
-            self._answer_early(exchange, 503, headers, "no_document")
+            self._reject(exchange, 503, headers, "no_document")
             return
         request = exchange.request
         host = request.get_header(b"host")
         if host is None:
-            self._answer_early(exchange, 400, (), "no_host")
+            self._reject(exchange, 400, (), "no_host")
             return
         path = request.target.partition(b"?")[0]
         route = self.routes.match(_read_host(host), path.decode("latin-1"))
         if route is None:
-            self._answer_early(exchange, 404, (), "no_route")
+            self._reject(exchange, 404, (), "no_route")
             return
         lower = self.context.names.lower
         request_id = request.get_header(lower.request_id)
         if not request_id:
-            self._answer_early(exchange, 400, (), "no_request_id")
+            self._reject(exchange, 400, (), "no_request_id")
             return
         caller_ms = parse_ms(request.get_header(lower.deadline_ms))
-        incoming = endpoint_calls.Incoming(
+        incoming = endpoint_calls.IncomingRequest(
             exchange, route, self.document.version, request_id, caller_ms
         )
         self._start(incoming)
@@ -95,7 +104,7 @@
             fanout.FanOut(incoming, self.context, self._finish).start()
             return
         service = choose_service(route.alternatives, self.context.random)
-        single_endpoint.Forward(
+        single_endpoint.SingleEndpointRequest(
             incoming, service, self.context, self._finish
         ).start()
 
@@ -117,7 +126,7 @@
             **fields,
         )
 
-    def _answer_early(self, exchange, status, headers, reason):
+    def _reject(self, exchange, status, headers, reason):
         lower = self.context.names.lower
         request_id = exchange.request.get_header(lower.request_id) or b""
         exchange.respond(status, headers, reason.encode())
@@ -133,7 +142,7 @@
 
 
 def choose_service(alternatives, random) -> str:
-    """Draw a service in proportion to the weights."""
+    """Choose a service at random in proportion to the weights."""
     if len(alternatives) == 1:
         return alternatives[0].service
     total = sum(a.weight for a in alternatives)
@@ -146,7 +155,7 @@
 
 
 def parse_ms(value: bytes | None) -> float | None:
-    """Parse a time in ms; None if there is none or it can't be read."""
+    """Parse a time in ms; None if missing or malformed."""
     if value is None or not value.strip().isdigit():
         return None
     return float(value)
--- a/chervilspindle/routing/fanout.py
+++ b/chervilspindle/routing/fanout.py
@@ -1,10 +1,10 @@
-"""A request to all shards: send, hedge, retry, merge and answer.
+"""Requests to all shards of a route: fan-out, hedges, retries and merge.
 
-All shards come from the one document that was in force when the request
-was read. They are sent from this process or, where a query would take it
-too long, in groups through relays. The answer goes out when every shard has
-answered, or shortly before the objective with the parts that are there, if
-they cover enough.
+The shards are those of the routing document that was active when the
+request was read. They are sent from this process or, where sending all of
+them would take it too long, in groups through relays. The answer is sent
+when every shard has answered, or shortly before the latency objective with
+the parts received so far, if they reach the required coverage.
 """
 
 from chervilspindle.policy import hedging
@@ -15,52 +15,55 @@
 from chervilspindle.routing import routed_request
 from chervilspindle.wire import messages
 
-RECHECK_MS = 2.0  # a small part of the least time until a hedge
-LOGGED_SENDS = 8  # second sends that the line of a request names
+HEDGE_RECHECK_MS = 2.0  # well below `policy.MIN_HEDGE_MS`
+MAX_LOGGED_RESENDS = 8  # per request
 
 
-class Shard:
-    """One shard of a request; a mutable row.
+class ShardState:
+    """Progress of one shard of a request; mutable.
 
     Attributes
     ----------
     service : str
     group : relays.Group or None
         None if it is sent from this process.
-    open_sends : list
-        `parts_query.PartsQuery` or `relaying.RelayedParts` in progress.
+    open_dispatches : list
+        `direct_dispatch.DirectDispatch` or `relaying.RelayedParts` in
+        progress that include this shard.
     tried : list of str
-        Endpoints that it was sent to, as far as they are known.
+        Ids of the endpoints it was sent to, as far as known.
     relays_tried : tuple of str
         Addresses.
-    may_have_run, sends : int
-    lost : bool
-        Whether it can get no part any more.
+    possible_runs : int
+        Sends that an endpoint may have run.
+    send_count : int
+    failed : bool
+        Whether no part can be obtained any more.
     reason : str
-        Of the last failure.
+        Reason of the last failure.
     """
 
     __slots__ = (
         "service",
         "group",
-        "open_sends",
+        "open_dispatches",
         "tried",
         "relays_tried",
-        "may_have_run",
-        "sends",
-        "lost",
+        "possible_runs",
+        "send_count",
+        "failed",
         "reason",
     )
 
     def __init__(self, service):
         self.service = service
         self.group = None
-        self.open_sends = []
+        self.open_dispatches = []
         self.tried = []
         self.relays_tried = ()
-        self.may_have_run = 0
-        self.sends = 0
-        self.lost = False
+        self.possible_runs = 0
+        self.send_count = 0
+        self.failed = False
         self.reason = ""
 
 
@@ -70,27 +73,30 @@
     def __init__(self, incoming, context, on_done):
         super().__init__(incoming, context, on_done)
         route = incoming.route
-        self.shard_by_service = {s: Shard(s) for s in route.shards}
-        self.needed = policy.count_needed(
+        self.shard_by_service = {s: ShardState(s) for s in route.shards}
+        self.required = policy.count_required_shards(
             len(route.shards), route.min_coverage
         )
         self.part_set_by_service = {}
-        self.sends = []  # all that may still be in progress
-        self.lost = 0  # shards that can get no part any more
+        self.dispatches = []
+        self.failed_shards = 0
         self.hedges = 0
         self.retries = 0
-        self.again = []
-        self.relayed = []
-        self.ran = False
+        self.resends = []  # rows for the log, at most MAX_LOGGED_RESENDS
+        self.relay_vm_ids = []
+        self.may_have_run = False
         self.past_answer_time = False
-        self.occupancy = 0.0  # of the endpoints, when the query came
+        self.occupancy = 0.0  # of the endpoints, when the request arrived
 
     def start(self):
-        """Send to all shards, or refuse if too few have an endpoint."""
+        """Send to all shards.
+
+        Refused if too few shards have an endpoint, or by load shedding.
+        """
         services = self.incoming.route.shards
         table = self.context.table
-        found = sum(1 for s in services if table.count_endpoints(s))
-        if found < self.needed:
+        reachable = sum(1 for s in services if table.count_endpoints(s))
+        if reachable < self.required:
             self.refuse("no_endpoint")
             return
         self.occupancy = overload.estimate_occupancy(
@@ -101,17 +107,17 @@
             self.refuse("overload")
             return
         self.context.budget.count_requests(services)
-        self._send_first()
+        self._send_all()
         if self.done:
             return
         timing = self.timing
         self.call_at(timing.hedge_ms, self._hedge)
         if timing.answer_ms < timing.deadline_ms:
-            self.call_at(timing.answer_ms, self._reach_answer_time)
-        self.call_at(timing.deadline_ms, self._expire)
+            self.call_at(timing.answer_ms, self._on_answer_time)
+        self.call_at(timing.deadline_ms, self._on_deadline)
         self.watch_caller()
 
-    def _send_first(self):
+    def _send_all(self):
         relays = self.context.relays
         for group in relays.table.get_groups(self.incoming.route.shards):
             relay = relays.table.pick(group)
@@ -120,34 +126,34 @@
             grouped = [self.shard_by_service[s] for s in group.services]
             for shard in grouped:
                 shard.group = group
-            self._send_through(relay, grouped, ())
+            self._send_via_relay(relay, grouped, ())
         direct = [s for s in self.shard_by_service.values() if s.group is None]
         if direct and not self.done:
-            self._send_from_here(direct)
+            self._send_directly(direct)
 
-    def _note_sends(self, sent, shards):
-        self.sends.append(sent)
+    def _register_dispatch(self, dispatch, shards):
+        self.dispatches.append(dispatch)
         for shard in shards:
-            shard.open_sends.append(sent)
-            shard.sends += 1
-            shard.may_have_run += 1
+            shard.open_dispatches.append(dispatch)
+            shard.send_count += 1
+            shard.possible_runs += 1
 
-    def _send_from_here(self, shards):
-        sent = direct_dispatch.DirectDispatch(
+    def _send_directly(self, shards):
+        dispatch = direct_dispatch.DirectDispatch(
             self.context,
             self.message,
             self.incoming.request_id,
             self.read_deadline_s(),
             self,
         )
-        self._note_sends(sent, shards)
+        self._register_dispatch(dispatch, shards)
         tried = {s.service: tuple(s.tried) for s in shards if s.tried}
-        sent.start([s.service for s in shards], tried)
+        dispatch.start([s.service for s in shards], tried)
 
-    def _send_through(self, relay, shards, tried):
+    def _send_via_relay(self, relay, shards, tried):
         elapsed_ms = self.read_elapsed_ms()
         report_ms = max(
-            policy.LEAST_REPORT_MS, self.timing.report_ms - elapsed_ms
+            policy.MIN_REPORT_MS, self.timing.report_ms - elapsed_ms
         )
         request = messages.RelayedRequest(
             self.incoming.request_id,
@@ -155,7 +161,7 @@
             report_ms,
             self.incoming.route.top_k,
         )
-        sent = self.context.relays.send(
+        dispatch = self.context.relays.send(
             relay,
             tuple(s.service for s in shards),
             tried,
@@ -163,110 +169,116 @@
             request,
             self,
         )
-        self._note_sends(sent, shards)
-        self.relayed.append(relay.vm_id)
+        self._register_dispatch(dispatch, shards)
+        self.relay_vm_ids.append(relay.vm_id)
         for shard in shards:
             shard.relays_tried += (relay.address,)
 
-    # What sends tell their listener.
+    # Listener methods, called by dispatches.
 
-    def note_endpoint(self, sent, service, endpoint_id):
-        """Take in which endpoint got a shard."""
+    def note_endpoint(self, dispatch, service, endpoint_id):
+        """Record the endpoint that a shard was sent to."""
         self.shard_by_service[service].tried.append(endpoint_id)
 
-    def take_part(self, sent, service, stamp, body, took_ms):
-        """Take in a part that this process got."""
-        self.shard_by_service[service].open_sends.remove(sent)
-        self.ran = True
+    def take_part(self, dispatch, service, stamp, body, took_ms):
+        """Add a part that an endpoint sent to this process."""
+        self.shard_by_service[service].open_dispatches.remove(dispatch)
+        self.may_have_run = True
         if not self.done and service not in self.part_set_by_service:
-            self.note_usual(took_ms)
-            self._add(messages.PartSet((service,), stamp, body))
+            self.record_part_ms(took_ms)
+            self._add_part_set(messages.PartSet((service,), stamp, body))
 
-    def take_part_set(self, sent, part_set, usual_ms):
-        """Take in parts that a relay reported."""
+    def take_part_set(self, dispatch, part_set, mean_ms):
+        """Add a set of parts that a relay reported."""
         for service in part_set.services:
-            self.shard_by_service[service].open_sends.remove(sent)
-        self.ran = True
+            self.shard_by_service[service].open_dispatches.remove(dispatch)
+        self.may_have_run = True
         if not self.done:
-            self.note_usual(usual_ms)
-            self._add(part_set)
+            self.record_part_ms(mean_ms)
+            self._add_part_set(part_set)
 
-    def lose_part(self, sent, loss):
-        """Take in that this process got no part."""
-        self.lose_parts(sent, (loss,))
+    def lose_part(self, dispatch, loss):
+        """Handle the failure of one shard sent by this process."""
+        self.lose_parts(dispatch, (loss,))
 
-    def lose_parts(self, sent, losses):
-        """Take in that shards got no part; send them again."""
-        again = []
+    def lose_parts(self, dispatch, losses):
+        """Handle failed shards: resend them, or mark them as failed."""
+        to_resend = []
         for loss in losses:
             shard = self.shard_by_service[loss.service]
-            shard.open_sends.remove(sent)
+            shard.open_dispatches.remove(dispatch)
             if loss.ran:
-                self.ran = True
+                self.may_have_run = True
             else:
-                shard.may_have_run -= 1
+                shard.possible_runs -= 1
             shard.reason = loss.reason
             if loss.endpoint_id and loss.endpoint_id not in shard.tried:
                 shard.tried.append(loss.endpoint_id)
-            if not self._is_settled(shard) and not self._is_awaited(shard):
-                again.append(shard)
-        if self.done or not again:
+            if not self._is_settled(shard) and not self._is_pending(shard):
+                to_resend.append(shard)
+        if self.done or not to_resend:
             return
-        sent_again = self._send_again(again, again[0].reason)
-        self.retries += len(sent_again)
-        for _ in sent_again:
-            self.context.metrics.count_extra("retry")
-        for shard in again:
-            if not self._is_awaited(shard) and not self._is_settled(shard):
-                shard.lost = True
-                self.lost += 1
+        resent = self._resend(to_resend, to_resend[0].reason)
+        self.retries += len(resent)
+        for _ in resent:
+            self.context.metrics.count_extra_send("retry")
+        for shard in to_resend:
+            if not self._is_pending(shard) and not self._is_settled(shard):
+                shard.failed = True
+                self.failed_shards += 1
         self._check_progress()
 
     def _is_settled(self, shard) -> bool:
-        return shard.lost or shard.service in self.part_set_by_service
+        return shard.failed or shard.service in self.part_set_by_service
 
-    def _is_awaited(self, shard) -> bool:
-        return any(not sent.presumed_lost for sent in shard.open_sends)
+    def _is_pending(self, shard) -> bool:
+        return any(
+            not dispatch.presumed_lost for dispatch in shard.open_dispatches
+        )
 
-    def _add(self, part_set):
-        held = self.part_set_by_service
-        before = len(held)
-        for service in part_merging.add_part_set(held, part_set):
+    def _add_part_set(self, part_set):
+        part_sets = self.part_set_by_service
+        covered_before = len(part_sets)
+        for service in part_merging.add_part_set(part_sets, part_set):
             shard = self.shard_by_service[service]
-            if shard.lost:
-                shard.lost = False
-                self.lost -= 1
-        if len(held) == len(self.shard_by_service):
+            if shard.failed:
+                shard.failed = False
+                self.failed_shards -= 1
+        if len(part_sets) == len(self.shard_by_service):
             self._answer("complete")
-        elif len(held) > before:
+        elif len(part_sets) > covered_before:
             self._check_progress()
 
     def _check_progress(self):
-        """Answer if nothing better can come, or at last if enough is there."""
+        """Answer or fail if waiting can't improve the result.
+
+        Past the answer time, required coverage is enough to answer.
+        """
         if self.done:
             return
         answered = len(self.part_set_by_service)
         shards = len(self.shard_by_service)
-        if answered >= self.needed:
-            if self.past_answer_time or answered + self.lost >= shards:
+        if answered >= self.required:
+            if (
+                self.past_answer_time
+                or answered + self.failed_shards >= shards
+            ):
                 self._answer("partial")
-        elif shards - self.lost < self.needed:
+        elif shards - self.failed_shards < self.required:
             self._fail(502, "too_few_parts")
 
-    def _reach_answer_time(self):
+    def _on_answer_time(self):
         self.past_answer_time = True
-        latency_estimates = self.context.latency_estimates
+        estimates = self.context.latency_estimates
         late_ms = self.read_elapsed_ms() - self.timing.answer_ms
-        latency_estimates.lag_ms = policy.smooth_lag(
-            latency_estimates.lag_ms, late_ms
-        )
-        if not self.done and len(self.part_set_by_service) >= self.needed:
+        estimates.lag_ms = policy.smooth_lag(estimates.lag_ms, late_ms)
+        if not self.done and len(self.part_set_by_service) >= self.required:
             self._answer("objective")
 
-    def _expire(self):
+    def _on_deadline(self):
         if self.done:
             return
-        if len(self.part_set_by_service) >= self.needed:
+        if len(self.part_set_by_service) >= self.required:
             self._answer("deadline")
         else:
             self._fail(504, "deadline")
@@ -276,88 +288,96 @@
             return
         elapsed = self.read_elapsed_ms()
         shards = len(self.shard_by_service)
-        unsettled = shards - len(self.part_set_by_service)
-        late = elapsed / self.timing.hedge_ms
+        unanswered = shards - len(self.part_set_by_service)
+        elapsed_ratio = elapsed / self.timing.hedge_ms
         if not hedging.is_straggler(
-            shards, unsettled, late, policy.HEDGED_SHARE
+            shards, unanswered, elapsed_ratio, policy.MAX_STRAGGLER_SHARE
         ):
-            self.call_at(elapsed + RECHECK_MS, self._hedge)
+            self.call_at(elapsed + HEDGE_RECHECK_MS, self._hedge)
             return
-        # A relay that is about to report may have the parts by now.
-        grace = elapsed < self.timing.hedge_ms + policy.REPORT_GRACE_MS
+        # A relay about to report may already hold the parts.
+        in_grace = elapsed < self.timing.hedge_ms + policy.REPORT_GRACE_MS
         table = self.context.table
-        late_shards = []
-        waits = False
+        to_hedge = []
+        recheck = False
         for shard in self.shard_by_service.values():
-            if self._is_settled(shard) or len(shard.open_sends) != 1:
+            if self._is_settled(shard) or len(shard.open_dispatches) != 1:
                 continue
-            sent = shard.open_sends[0]
-            if sent.awaits_report():
-                if grace:
-                    waits = True
+            dispatch = shard.open_dispatches[0]
+            if dispatch.awaits_report():
+                if in_grace:
+                    recheck = True
                     continue
-                self._presume_lost(sent)
+                self._presume_relay_lost(dispatch)
             if table.has_place(shard.service, shard.tried):
-                late_shards.append(shard)
-        hedged = self._send_again(late_shards, "hedge")
+                to_hedge.append(shard)
+        hedged = self._resend(to_hedge, "hedge")
         self.hedges += len(hedged)
         for _ in hedged:
-            self.context.metrics.count_extra("hedge")
-        if waits and not self.done:
-            self.call_at(elapsed + RECHECK_MS, self._hedge)
+            self.context.metrics.count_extra_send("hedge")
+        if recheck and not self.done:
+            self.call_at(elapsed + HEDGE_RECHECK_MS, self._hedge)
 
-    def _presume_lost(self, sent):
-        if not sent.presumed_lost:
-            sent.presumed_lost = True
+    def _presume_relay_lost(self, dispatch):
+        if not dispatch.presumed_lost:
+            dispatch.presumed_lost = True
             table = self.context.relays.table
-            table.note_silence(sent.address, "no report")
+            table.note_silence(dispatch.address, "no report")
 
-    def _reserve_send(self, shard) -> bool:
-        """Take room for one more send, if rules and budget allow it."""
+    def _reserve_resend(self, shard) -> bool:
+        """Charge one more send to the budget.
+
+        Returns
+        -------
+        bool
+            False if attempts, endpoints or budget are exhausted.
+        """
         attempts = self.incoming.route.max_attempts
-        if shard.may_have_run >= attempts:
+        if shard.possible_runs >= attempts:
             return False
-        if shard.sends >= attempts + routed_request.MAX_REFUSED_SENDS:
+        if shard.send_count >= attempts + routed_request.MAX_REFUSED_SENDS:
             return False
         table = self.context.table
         if table.count_endpoints(shard.service) <= len(set(shard.tried)):
             return False
         if not self.context.budget.spend(shard.service):
-            self.context.metrics.count_extra("over_budget")
+            self.context.metrics.count_extra_send("over_budget")
             return False
         return True
 
-    def _send_again(self, shards, cause) -> list:
-        """Send shards to other endpoints, as far as that is allowed.
+    def _resend(self, shards, cause) -> list:
+        """Send shards to other endpoints where attempts and budget allow it.
 
         Returns
         -------
-        list of Shard
-            Those that were sent.
+        list of ShardState
+            The shards that were sent.
         """
-        allowed = [s for s in shards if self._reserve_send(s)]
+        allowed = [s for s in shards if self._reserve_resend(s)]
         direct = []
         shards_by_relay = {}
         for shard in allowed:
-            relay = self._pick_again(shard)
+            relay = self._pick_resend_relay(shard)
             if relay is None:
                 direct.append(shard)
             else:
                 shards_by_relay.setdefault(relay, []).append(shard)
-        self._note_again(allowed, cause)
-        for relay, found in shards_by_relay.items():
-            self._send_through(
-                relay, found, tuple(tuple(s.tried) for s in found)
+        self._log_resends(allowed, cause)
+        for relay, grouped in shards_by_relay.items():
+            self._send_via_relay(
+                relay, grouped, tuple(tuple(s.tried) for s in grouped)
             )
         if direct:
-            self._send_from_here(direct)
+            self._send_directly(direct)
         return allowed
 
-    def _pick_again(self, shard):
-        """Return a relay for a second send, None to send from here.
+    def _pick_resend_relay(self, shard):
+        """Return the relay for a resend, None to send from this process.
 
-        Another relay of the zone, if the first one is silent; otherwise the
-        endpoint was, and the others are near the relays of other zones.
+        If no endpoint is known to have got the shard, the relay itself did
+        not answer, and another relay of this zone is preferred. Otherwise
+        the endpoint did not answer; the other replicas are closer to relays
+        of other zones.
         """
         if shard.group is None:
             return None
@@ -368,33 +388,35 @@
         near = table.pick(shard.group, tried)
         return near or table.pick_far(shard.group, tried)
 
-    def _note_again(self, shards, cause):
+    def _log_resends(self, shards, cause):
         elapsed = round(self.read_elapsed_ms(), 1)
-        for shard in shards[: LOGGED_SENDS - len(self.again)]:
+        for shard in shards[: MAX_LOGGED_RESENDS - len(self.resends)]:
             tried = shard.tried[-1] if shard.tried else ""
-            self.again.append([shard.service, tried, cause, elapsed])
+            self.resends.append([shard.service, tried, cause, elapsed])
 
     def _fail(self, status, reason):
-        if not self.ran and not any(s.may_have_run() for s in self.sends):
+        if not self.may_have_run and not any(
+            s.may_have_run() for s in self.dispatches
+        ):
             self.refuse(reason)
         else:
             self.finish(status, (), b"", reason)
 
     def _answer(self, reason):
         names = self.context.names.sent
-        held = self.part_set_by_service
-        found = list({id(p): p for p in held.values()}.values())
-        whole = part_merging.merge_parts(found, self.incoming.route.top_k)
-        missing = len(self.shard_by_service) - len(held)
+        part_sets = self.part_set_by_service
+        distinct = list({id(p): p for p in part_sets.values()}.values())
+        merged = part_merging.merge_parts(distinct, self.incoming.route.top_k)
+        missing = len(self.shard_by_service) - len(part_sets)
         headers = (
-            (names.part_stamps, whole.stamps),
+            (names.part_stamps, merged.stamps),
             (names.missing_parts, b"%d" % missing),
             (b"Content-Type", b"application/octet-stream"),
         )
-        self.finish(200, headers, whole.body, reason)
+        self.finish(200, headers, merged.body, reason)
 
-    def describe(self) -> dict:
-        """Return the fields of the request's log line."""
+    def build_log_fields(self) -> dict:
+        """Return the request-specific fields of the log event."""
         missing = [
             f"{s.service}:{s.reason or 'late'}"
             for s in self.shard_by_service.values()
@@ -407,18 +429,18 @@
             "hedges": self.hedges,
             "retries": self.retries,
             "missing": missing,
-            "again": self.again,
+            "again": self.resends,
         }
-        if self.relayed:
-            fields["relays"] = self.relayed
+        if self.relay_vm_ids:
+            fields["relays"] = self.relay_vm_ids
         return fields
 
     def stop_sends(self):
-        """Send nothing more; what was sent ends by itself."""
-        for sent in self.sends:
-            sent.stop()
+        """Withdraw what is not sent yet; requests in progress run on."""
+        for dispatch in self.dispatches:
+            dispatch.stop()
 
     def cancel_sends(self):
-        """Give up what is in progress."""
-        for sent in self.sends:
-            sent.cancel()
+        """Cancel what is in progress."""
+        for dispatch in self.dispatches:
+            dispatch.cancel()
--- a/chervilspindle/routing/metrics.py
+++ b/chervilspindle/routing/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms of the data path."""
+"""Counters and latency histograms of routed requests."""
 
 import aioprometheus
 from aioprometheus import renderer
@@ -36,24 +36,24 @@
         )
 
     def count_request(self, route, status, seconds):
-        """Count one answer."""
+        """Count one request and observe its latency in seconds."""
         self.requests.inc({"route": route, "status": str(status)})
         self.latency.observe({"route": route}, seconds)
 
     def count_failure(self, reason):
-        """Count a send without a good answer."""
+        """Count a send without a successful answer, by reason."""
         self.failures.inc({"reason": reason})
 
-    def count_extra(self, cause):
-        """Count a send beyond the first."""
+    def count_extra_send(self, cause):
+        """Count a send beyond the first, by cause."""
         self.extra.inc({"cause": cause})
 
     def count_event(self, event):
-        """Count an event of a connection."""
+        """Count a connection event."""
         self.events.inc({"event": event})
 
     def render(self, accept):
-        """Render all metrics.
+        """Render all metrics in a format that `accept` allows.
 
         Returns
         -------
--- a/chervilspindle/routing/policy.py
+++ b/chervilspindle/routing/policy.py
@@ -1,48 +1,52 @@
-"""When a request or shard is sent again, and when an answer goes out.
+"""Timing of hedges, relay reports and answers.
 
-Pure functions of times and counts, so that each decision can be tested on
-the load that it answers.
+Pure functions of times and counts, so that each decision can be tested in
+isolation.
 """
 
 import math
 import typing
 
-HEDGE_FACTOR = 1.7  # times the usual time of the route's shards
-HEDGE_LEAST_MS = 6.0
-HEDGE_AIM_SHARE = 0.33  # a hedge has to end within the objective
+HEDGE_FACTOR = 1.7  # times the smoothed part time of the route
+MIN_HEDGE_MS = 6.0
+# Latest hedge as a share of the answer time; a hedge has to be answered
+# within the objective.
+MAX_HEDGE_SHARE = 0.33
 DEFAULT_HEDGE_MS = 50.0  # routes without an objective
-TRIP_MS = 3.0  # one way between callers and entries
-CONNECT_MS = 6.0  # first request on a caller's connection, one round trip
-ANSWER_MS = 2.5  # to build an answer and write it, at least
-ANSWER_CORE_MS = 1.0  # the same on a whole core
-STAMP_BYTES = 32  # of one shard in the head of an answer
-USUAL_SMOOTHING = 0.05
-FIRST_USUAL_MS = 15.0  # before the first answer, connections are new as well
-LAG_RISE = 0.5  # lag is taken in fast and forgotten slowly
-LAG_FALL = 0.1
+CALLER_ONE_WAY_MS = 3.0  # network latency between callers and entries
+# One round trip, for the first request on a caller's connection.
+CALLER_CONNECT_MS = 6.0
+MIN_ANSWER_SEND_MS = 2.5  # to build and write an answer
+ANSWER_BUILD_CORE_MS = 1.0  # to build an answer on a whole core
+STAMP_BYTES = 32  # signature of one shard in the header of an answer
+PART_MS_SMOOTHING = 0.05
+# Before the first answer of a route, when connections are new as well.
+INITIAL_PART_MS = 15.0
+LAG_RISE_WEIGHT = 0.5  # lag is tracked fast upwards and slowly downwards
+LAG_FALL_WEIGHT = 0.1
 MAX_LAG_MS = 15.0
-FIRST_LAG_MS = 2.0  # on a whole core, before anything was measured
-# Endpoints that pause or are slow are few at a time; more parts than that
-# are late when the VM itself is.
-HEDGED_SHARE = 0.25
-REPORT_LEAD_MS = 2.0  # a relay's report travels and is decoded meanwhile
-LEAST_REPORT_MS = 2.0  # endpoints have had no time before that
-REPORT_GRACE_MS = 6.0  # later than that, a relay is taken to be silent
-RETRY_AFTER_S = 0.25  # endpoints that refused have room again by then
+INITIAL_LAG_CORE_MS = 2.0  # on a whole core, before the first measurement
+# Only a few endpoints are paused or slow at a time; when a larger share of
+# parts is late, this VM itself is.
+MAX_STRAGGLER_SHARE = 0.25
+REPORT_LEAD_MS = 2.0  # for a relay's report to travel and to be decoded
+MIN_REPORT_MS = 2.0  # endpoints can't have answered earlier
+REPORT_GRACE_MS = 6.0  # a relay without a report by then is presumed lost
+RETRY_AFTER_S = 0.25  # by then, endpoints that refused have room again
 
 
 class Timing(typing.NamedTuple):
-    """Times of one request, in ms since it was read.
+    """Schedule of one request, in ms since it was read.
 
     Parameters
     ----------
     hedge_ms : float
-        When parts without an answer are sent to another replica.
+        When shards without an answer are hedged to another replica.
     answer_ms : float
-        When an answer is sent with the parts that are there; infinite for
+        When an answer is sent with the parts received so far; infinite for
         a route without an objective.
     deadline_ms : float
-        When the request is given up.
+        When the request times out.
     """
 
     hedge_ms: float
@@ -51,7 +55,7 @@
 
     @property
     def report_ms(self) -> float:
-        """When relays report, so that a hedge knows what is missing."""
+        """When relays report, early enough to decide on hedges."""
         return self.hedge_ms - REPORT_LEAD_MS
 
 
@@ -60,75 +64,77 @@
     timeout_ms: float,
     caller_ms: float | None,
     is_first: bool,
-    usual_ms: float,
-    late_ms: float = ANSWER_MS,
+    part_ms: float,
+    answer_send_ms: float = MIN_ANSWER_SEND_MS,
 ) -> Timing:
-    """Plan a request from its route and from what its caller said.
+    """Plan a request from the times of its route and its caller.
 
     Parameters
     ----------
     objective_ms, timeout_ms : float
-        Of the route; an objective of 0 is none.
+        Of the route; an objective of 0 means none.
     caller_ms : float or None
-        How long the caller waits, if it said so.
+        How long the caller waits, if known.
     is_first : bool
-        Whether the caller had to connect for the request.
-    usual_ms : float
-        Usual time of the route's parts.
-    late_ms : float
-        From the time of an answer until it is sent.
+        Whether the request is the first on the caller's connection.
+    part_ms : float
+        Smoothed part time of the route.
+    answer_send_ms : float
+        Time needed to build and send the answer.
     """
     deadline = timeout_ms
     if caller_ms is not None:
         deadline = min(deadline, caller_ms)
     if not objective_ms:
         return Timing(DEFAULT_HEDGE_MS, math.inf, deadline)
-    spent = TRIP_MS + (CONNECT_MS if is_first else 0.0)
-    answer = max(0.0, objective_ms - spent - TRIP_MS - late_ms)
-    hedge = max(HEDGE_LEAST_MS, HEDGE_FACTOR * usual_ms)
-    return Timing(min(hedge, answer * HEDGE_AIM_SHARE), answer, deadline)
+    inbound_ms = CALLER_ONE_WAY_MS + (CALLER_CONNECT_MS if is_first else 0.0)
+    answer = max(
+        0.0, objective_ms - inbound_ms - CALLER_ONE_WAY_MS - answer_send_ms
+    )
+    hedge = max(MIN_HEDGE_MS, HEDGE_FACTOR * part_ms)
+    return Timing(min(hedge, answer * MAX_HEDGE_SHARE), answer, deadline)
 
 
-def compute_answer_ms(
+def estimate_answer_send_ms(
     shards: int, core_share: float, link_mbps: float
 ) -> float:
-    """Return how long it takes to build and send an answer, in ms.
+    """Return the time to build and send an answer, in ms.
 
     Parameters
     ----------
     shards : int
     core_share : float
-        Part of a core that the process has.
+        Share of a core that the process may use.
     link_mbps : float
         Bandwidth of the VM's link, in Mbit/s.
     """
     link_ms = shards * STAMP_BYTES * 8 / (link_mbps * 1000.0)
-    return max(ANSWER_MS, ANSWER_CORE_MS / core_share + link_ms)
+    return max(MIN_ANSWER_SEND_MS, ANSWER_BUILD_CORE_MS / core_share + link_ms)
 
 
-def smooth_usual(usual_ms: float | None, sample_ms: float) -> float:
-    """Return the usual time after one more sample.
+def smooth_part_ms(part_ms: float | None, sample_ms: float) -> float:
+    """Return the smoothed part time after one more sample.
 
-    Late samples count as somewhat late only: they say little about what is
-    usual.
+    Samples are capped at twice the current value, so that stragglers have
+    little influence.
     """
-    if usual_ms is None:
+    if part_ms is None:
         return sample_ms
-    bounded = min(sample_ms, 2.0 * usual_ms)
-    return usual_ms + USUAL_SMOOTHING * (bounded - usual_ms)
+    capped = min(sample_ms, 2.0 * part_ms)
+    return part_ms + PART_MS_SMOOTHING * (capped - part_ms)
 
 
 def smooth_lag(lag_ms: float, sample_ms: float) -> float:
-    """Return how late this process usually is after one more sample.
+    """Return the smoothed lag of this process after one more sample.
 
-    A VM with a part of a core is busy for some time with the answers that
-    come in before an answer is due.
+    A VM with a fraction of a core may still be processing received parts
+    when an answer is due.
     """
-    bounded = min(MAX_LAG_MS, max(0.0, sample_ms))
-    weight = LAG_RISE if bounded > lag_ms else LAG_FALL
-    return lag_ms + weight * (bounded - lag_ms)
+    capped = min(MAX_LAG_MS, max(0.0, sample_ms))
+    weight = LAG_RISE_WEIGHT if capped > lag_ms else LAG_FALL_WEIGHT
+    return lag_ms + weight * (capped - lag_ms)
 
 
-def count_needed(shards: int, min_coverage: float) -> int:
-    """Return how many shards an answer has to cover at least."""
+def count_required_shards(shards: int, min_coverage: float) -> int:
+    """Return the minimum number of shards that an answer has to cover."""
     return max(1, math.ceil(shards * min_coverage - 1e-9))
--- a/chervilspindle/routing/policy_test.py
+++ b/chervilspindle/routing/policy_test.py
@@ -1,4 +1,4 @@
-"""Tests of decisions on times, choices and budgets, on loads they answer."""
+"""Tests of timing, endpoint selection, merging and retry budgets."""
 
 import random
 import typing
@@ -13,57 +13,60 @@
 from chervilspindle.routing import retry_budget
 from chervilspindle.routing import selection
 
-VIEW = selection.CandidateState(0, 0.0, True, False, True)
+CANDIDATE = selection.CandidateState(0, 0.0, True, False, True)
 
 
-def test_an_answer_leaves_time_for_the_way_back():
-    kept = policy.plan_timing(44.0, 600.0, 601.0, False, 4.0)
+def test_answer_time_reserves_the_return_trip():
+    reused = policy.plan_timing(44.0, 600.0, 601.0, False, 4.0)
     first = policy.plan_timing(44.0, 600.0, 601.0, True, 4.0)
-    assert kept.answer_ms + 2 * policy.TRIP_MS < 44.0
-    assert first.answer_ms == kept.answer_ms - policy.CONNECT_MS
+    assert reused.answer_ms + 2 * policy.CALLER_ONE_WAY_MS < 44.0
+    assert first.answer_ms == reused.answer_ms - policy.CALLER_CONNECT_MS
     assert first.hedge_ms < first.answer_ms / 2
 
 
-def test_an_answer_leaves_sooner_on_a_slow_vm_and_its_link():
-    assert policy.compute_answer_ms(20, 0.731, 350.0) == policy.ANSWER_MS
-    narrow = policy.compute_answer_ms(90, 0.361, 13.5)
-    wide = policy.compute_answer_ms(135, 0.361, 13.5)
+def test_answer_time_is_earlier_on_a_slow_vm_and_link():
+    assert (
+        policy.estimate_answer_send_ms(20, 0.731, 350.0)
+        == policy.MIN_ANSWER_SEND_MS
+    )
+    narrow = policy.estimate_answer_send_ms(90, 0.361, 13.5)
+    wide = policy.estimate_answer_send_ms(135, 0.361, 13.5)
     assert wide > narrow > 4.0
-    soon = policy.plan_timing(95.0, 600.0, 601.0, False, 4.0, wide)
-    late = policy.plan_timing(95.0, 600.0, 601.0, False, 4.0)
-    sooner_ms = late.answer_ms - soon.answer_ms
-    assert sooner_ms == pytest.approx(wide - policy.ANSWER_MS)
+    slow = policy.plan_timing(95.0, 600.0, 601.0, False, 4.0, wide)
+    fast = policy.plan_timing(95.0, 600.0, 601.0, False, 4.0)
+    earlier_ms = fast.answer_ms - slow.answer_ms
+    assert earlier_ms == pytest.approx(wide - policy.MIN_ANSWER_SEND_MS)
 
 
-def test_a_process_that_is_late_answers_sooner():
+def test_answer_time_is_earlier_when_the_process_lags():
     lag = 0.0
     for _ in range(10):
         lag = policy.smooth_lag(lag, 6.0)
     assert 5.0 < lag <= 6.0
-    calm = policy.plan_timing(44.0, 600.0, 601.0, False, 4.0)
-    late_ms = policy.ANSWER_MS + lag
-    busy = policy.plan_timing(44.0, 600.0, 601.0, False, 4.0, late_ms)
-    assert busy.answer_ms == pytest.approx(calm.answer_ms - lag)
+    idle = policy.plan_timing(44.0, 600.0, 601.0, False, 4.0)
+    answer_send_ms = policy.MIN_ANSWER_SEND_MS + lag
+    busy = policy.plan_timing(44.0, 600.0, 601.0, False, 4.0, answer_send_ms)
+    assert busy.answer_ms == pytest.approx(idle.answer_ms - lag)
     assert policy.smooth_lag(lag, 500.0) <= policy.MAX_LAG_MS
 
 
-def test_the_sooner_of_timeout_and_caller_ends_a_request():
+def test_deadline_is_the_earlier_of_route_timeout_and_caller():
     assert policy.plan_timing(0, 500.0, 200.0, False, 4.0).deadline_ms == 200.0
     assert policy.plan_timing(0, 500.0, None, False, 4.0).deadline_ms == 500.0
 
 
-def test_coverage_counts_whole_shards():
-    assert policy.count_needed(20, 0.75) == 15
-    assert policy.count_needed(20, 0.89) == 18
-    assert policy.count_needed(30, 0.9) == 27
-    assert policy.count_needed(3, 0.0) == 1
+def test_required_coverage_is_rounded_up_to_whole_shards():
+    assert policy.count_required_shards(20, 0.75) == 15
+    assert policy.count_required_shards(20, 0.89) == 18
+    assert policy.count_required_shards(30, 0.9) == 27
+    assert policy.count_required_shards(3, 0.0) == 1
 
 
-def test_a_few_late_parts_do_not_move_what_is_usual():
-    usual = None
+def test_a_few_late_parts_hardly_change_the_smoothed_time():
+    part_ms = None
     for sample in [10.0] * 50 + [500.0] * 3:
-        usual = policy.smooth_usual(usual, sample)
-    assert usual < 13.0
+        part_ms = policy.smooth_part_ms(part_ms, sample)
+    assert part_ms < 13.0
 
 
 @hypothesis.given(
@@ -79,68 +82,69 @@
     assert merge.merge_top(bodies, count) == expected
 
 
-def test_a_paused_endpoint_is_avoided_while_it_is_silent():
+def test_an_unresponsive_endpoint_costs_more_than_another_zone():
     paused = selection.Health(2)
     other = selection.Health(2)
-    silent = VIEW._replace(outstanding=1, silence_ms=40.0)
-    far = VIEW._replace(same_zone=False)
-    assert selection.compute_cost(paused, silent, 1.0) > (
+    unresponsive = CANDIDATE._replace(outstanding=1, oldest_pending_ms=40.0)
+    far = CANDIDATE._replace(same_zone=False)
+    assert selection.compute_cost(paused, unresponsive, 1.0) > (
         selection.compute_cost(other, far, 1.0)
     )
 
 
-def test_a_stated_load_counts_for_a_moment():
+def test_a_reported_load_raises_the_cost_until_it_decays():
     health = selection.Health(2)
-    idle = selection.compute_cost(health, VIEW, 10.0)
-    selection.note_load(health, 2, 6, 2, 10.0)
-    assert selection.compute_cost(health, VIEW, 10.0) > 3 * idle
-    later = 10.0 + selection.LOAD_MEMORY_S
-    assert selection.compute_cost(health, VIEW, later) == idle
+    idle = selection.compute_cost(health, CANDIDATE, 10.0)
+    selection.record_load(health, 2, 6, 2, 10.0)
+    assert selection.compute_cost(health, CANDIDATE, 10.0) > 3 * idle
+    later = 10.0 + selection.LOAD_DECAY_S
+    assert selection.compute_cost(health, CANDIDATE, later) == idle
 
 
-def test_failures_are_forgiven_after_a_while_and_by_an_answer():
+def test_failures_decay_and_are_reset_by_an_answer():
     health = selection.Health(2)
-    before = selection.compute_cost(health, VIEW, 5.0)
+    before = selection.compute_cost(health, CANDIDATE, 5.0)
     for _ in range(3):
-        selection.note_failure(health, 5.0)
-    assert selection.compute_cost(health, VIEW, 5.0) > before + 100.0
-    later = 5.0 + selection.FAILURE_MEMORY_S
-    assert selection.compute_cost(health, VIEW, later) == before
-    selection.note_answer(health, selection.INITIAL_ANSWER_MS, later)
+        selection.record_failure(health, 5.0)
+    assert selection.compute_cost(health, CANDIDATE, 5.0) > before + 100.0
+    later = 5.0 + selection.FAILURE_DECAY_S
+    assert selection.compute_cost(health, CANDIDATE, later) == before
+    selection.record_success(health, selection.INITIAL_ANSWER_MS, later)
     assert health.failures == 0
 
 
-def replay_slow_endpoint(gap_s, slow_from_s, slow_to_s, until_s):
-    """Send to the better of two replicas, of which the near one turns slow.
+def simulate_slow_endpoint(gap_s, slow_from_s, slow_to_s, until_s):
+    """Simulate two replicas, of which the near one is slow for a while.
 
     Returns
     -------
     list of (time, is_near)
+        For each request, whether it was sent to the near replica.
     """
     near, far = selection.Health(2), selection.Health(2)
-    view_far = VIEW._replace(same_zone=False)
+    far_candidate = CANDIDATE._replace(same_zone=False)
     sent = []
     now = 0.0
     while now < until_s:
-        best = endpoints.find_best_ms([Known(h) for h in (near, far)])
-        is_near = selection.compute_cost(near, VIEW, now, best) <= (
-            selection.compute_cost(far, view_far, now, best)
+        best = endpoints.find_best_ms([Candidate(h) for h in (near, far)])
+        is_near = selection.compute_cost(near, CANDIDATE, now, best) <= (
+            selection.compute_cost(far, far_candidate, now, best)
         )
         slow = is_near and slow_from_s <= now < slow_to_s
         took_ms = 60.0 if slow else 8.0
-        selection.note_answer(near if is_near else far, took_ms, now)
+        selection.record_success(near if is_near else far, took_ms, now)
         sent.append((now, is_near))
         now += gap_s
     return sent
 
 
-class Known(typing.NamedTuple):
+class Candidate(typing.NamedTuple):
     health: selection.Health
 
 
 @pytest.mark.parametrize("gap_s", [0.02, 0.2, 0.7, 2.0])
-def test_a_slow_endpoint_is_left_at_any_rate_and_tried_again(gap_s):
-    sent = replay_slow_endpoint(gap_s, 5.0, 13.0, 30.0)
+def test_a_slow_endpoint_is_avoided_and_retried_at_any_rate(gap_s):
+    sent = simulate_slow_endpoint(gap_s, 5.0, 13.0, 30.0)
     assert all(is_near for now, is_near in sent if now < 5.0)
     during = [is_near for now, is_near in sent if 5.0 + gap_s < now < 13.0]
     assert sum(during) <= 4 + 0.05 * len(during)
@@ -148,15 +152,15 @@
     assert sum(after) >= 0.9 * len(after)
 
 
-def replay_budget(vms, rate, seconds, wanted, counted_until_s=0.0):
-    """Play requests spread over VMs, each asking for `wanted` extra sends.
+def simulate_budget(vms, rate, seconds, wanted, totals_until_s=0.0):
+    """Simulate requests over VMs that each want `wanted` extra sends.
 
-    Control sums up the requests until it is lost.
+    Control reports the total of requests until `totals_until_s`.
 
     Returns
     -------
     list of (time, kind)
-        Requests and extra sends of all VMs together.
+        Requests and extra sends of all VMs; kind is "request" or "extra".
     """
     rule = retry_budget.Rule(0.2, 116.0, 10.0)
     now = [0.0]
@@ -165,61 +169,61 @@
         budget = retry_budget.RetryBudget(rule, lambda: now[0])
         budget.vms = vms
         budgets.append(budget)
-    draw = random.Random(7)
+    generator = random.Random(7)
     events = []
     for _ in range(int(rate * seconds)):
-        now[0] += draw.expovariate(rate)
-        budget = draw.choice(budgets)
+        now[0] += generator.expovariate(rate)
+        budget = generator.choice(budgets)
         budget.count_requests(("s",))
         events.append((now[0], "request"))
-        if now[0] < counted_until_s:
+        if now[0] < totals_until_s:
             total = sum(b.read_peak_requests() for b in budgets)
-            for one in budgets:
-                one.update_totals(vms, total)
+            for each in budgets:
+                each.update_totals(vms, total)
         for _ in range(wanted):
             if budget.spend("s"):
                 events.append((now[0], "extra"))
     return events
 
 
-def test_all_vms_together_stay_within_the_budget_of_any_window():
-    events = replay_budget(vms=15, rate=50.0, seconds=40.0, wanted=2)
+def test_all_vms_together_stay_within_the_budget_in_any_window():
+    events = simulate_budget(vms=15, rate=50.0, seconds=40.0, wanted=2)
     extras = [t for t, kind in events if kind == "extra"]
     requests = [t for t, kind in events if kind == "request"]
     assert len(extras) > 200
     for start in [t for t in extras if t > 10.0]:
         sent = sum(1 for t in extras if start <= t < start + 10.0)
-        asked = sum(1 for t in requests if start - 10.0 <= t < start)
-        asked = max(
-            asked, sum(1 for t in requests if start <= t < start + 10.0)
+        requested = sum(1 for t in requests if start - 10.0 <= t < start)
+        requested = max(
+            requested, sum(1 for t in requests if start <= t < start + 10.0)
         )
-        assert sent <= 0.2 * asked + 116.0
+        assert sent <= 0.2 * requested + 116.0
 
 
-@pytest.mark.parametrize("counted_until_s", [1.5, 4.0, 40.0])
+@pytest.mark.parametrize("totals_until_s", [1.5, 4.0, 40.0])
 @pytest.mark.parametrize("rate", [10.0, 25.0, 67.0])
-def test_the_budget_holds_when_requests_grow_and_control_is_lost(
-    counted_until_s, rate
+def test_budget_holds_when_requests_grow_and_control_is_lost(
+    totals_until_s, rate
 ):
-    events = replay_budget(20, rate, 25.0, 2, counted_until_s)
+    events = simulate_budget(20, rate, 25.0, 2, totals_until_s)
     extras = [t for t, kind in events if kind == "extra"]
     requests = [t for t, kind in events if kind == "request"]
     for start in [0.0, *extras]:
         sent = sum(1 for t in extras if start <= t < start + 10.0)
-        asked = sum(1 for t in requests if start <= t < start + 10.0)
+        requested = sum(1 for t in requests if start <= t < start + 10.0)
         before = sum(1 for t in requests if start - 10.0 <= t < start)
-        assert sent <= 0.2 * max(asked, before) + 116.0
+        assert sent <= 0.2 * max(requested, before) + 116.0
 
 
-def test_a_budget_is_small_until_the_vms_are_counted():
+def test_budget_is_small_until_the_vm_count_is_known():
     rule = retry_budget.Rule(0.2, 116.0, 10.0)
     budget = retry_budget.RetryBudget(rule, lambda: 0.0)
     granted = sum(1 for _ in range(50) if budget.spend("s"))
-    assert granted <= 116.0 / retry_budget.UNKNOWN_VMS
+    assert granted <= 116.0 / retry_budget.ASSUMED_VMS
 
 
-def test_few_requests_may_each_be_sent_again_once():
-    """Even parts of a hundred VMs left lost parts without a retry."""
+def test_few_requests_may_each_be_resent_once():
+    """Split over 102 VMs, the base was too small to retry all lost shards."""
     rule = retry_budget.Rule(0.2, 268.0, 10.0)
     now = [0.0]
     budget = retry_budget.RetryBudget(rule, lambda: now[0])
--- a/chervilspindle/routing/retry_budget.py
+++ b/chervilspindle/routing/retry_budget.py
@@ -1,35 +1,37 @@
-"""Budget of sends beyond the first of each request, shared by all VMs.
+"""Budget of extra sends (hedges and retries), shared by all VMs.
 
-The whole system may send a service, in each window, a share of its requests
-plus a base amount again. Each VM keeps to the share of its own requests and
-to an even part of the base, so that the sum stays within the whole without a
-message for each send.
+In each window, the whole system may send a service extra requests up to a
+share of its regular requests plus a base amount. Each VM keeps to that share
+of its own requests and to an even part of the base, so that the sum stays
+within the budget without coordination for each send.
 
-Even parts of many VMs are too small to be of use to any. While all requests
-of a window, as control sums them up, are so few that one extra send for each
-of them stays within the budget, each VM may spend one for each of its own.
+With many VMs, the even parts of the base are too small to be useful. While
+the total of requests in a window, as counted by control, is so small that
+one extra send for each request stays within the budget, each VM may spend
+one extra send for each of its own requests.
 """
 
 import collections
 import math
 import typing
 
-SAFETY = 0.8  # part of the budget that is used; VMs may be counted late
-SLICES = 20  # slices of a window, rounds its edge
-FREE_MARGIN = 1.25  # requests may grow before control has counted them
-UNKNOWN_VMS = 64  # VMs assumed until control has counted them
-COUNT_FRESH_S = 3.0  # requests may have grown by any factor after this
+# Share of the budget that is used; control may learn of new VMs late.
+USABLE_SHARE = 0.8
+SLICES_PER_WINDOW = 20  # resolution of the sliding window
+GROWTH_MARGIN = 1.25  # requests may grow before control has counted them
+ASSUMED_VMS = 64  # until control has counted them
+TOTALS_MAX_AGE_S = 3.0  # older totals don't bound the current requests
 
 
 class Rule(typing.NamedTuple):
-    """Extra sends that a service may get in each window, from all VMs.
+    """Limit on the extra sends of all VMs to a service in each window.
 
     Parameters
     ----------
     ratio : float
-        Share of the requests for the service.
+        Extra sends for each request to the service.
     base : float
-        Amount besides.
+        Extra sends in addition to that.
     window_s : float
     """
 
@@ -39,7 +41,7 @@
 
 
 class RetryBudget:
-    """Account of one VM, by service.
+    """Extra sends of one VM, by service.
 
     Parameters
     ----------
@@ -51,68 +53,85 @@
     def __init__(self, rule: Rule, read_clock):
         self.rule = rule
         self.read_clock = read_clock
-        self.vms = UNKNOWN_VMS
-        self.total_requests = 0  # 0 while control has not told
-        self.counted_s = -math.inf
-        # Mutable rows [slice number, requests, extra sends], oldest first.
+        self.vms = ASSUMED_VMS
+        self.total_requests = 0  # of all VMs; 0 while unknown
+        self.totals_s = -math.inf
+        # Lists of [slice number, requests, extra sends], oldest first.
         self.slices_by_service = {}
 
     def update_totals(self, vms: int, requests: int):
-        """Take over what control counts over all VMs, 0 if it can't tell."""
+        """Set the totals over all VMs as counted by control.
+
+        Parameters
+        ----------
+        vms : int
+        requests : int
+            Requests in a window; 0 if control can't tell.
+        """
         self.vms = vms
         self.total_requests = requests
-        self.counted_s = self.read_clock()
+        self.totals_s = self.read_clock()
 
     def count_requests(self, services):
         """Count one request for each of the services."""
-        number = self._read_slice()
+        number = self._get_slice_number()
         for service in services:
             current = self._open_slice(service, number)
             current[1] += 1
 
     def spend(self, service: str) -> bool:
-        """Take room for one extra send, if there is any."""
-        number = self._read_slice()
+        """Charge one extra send if the budget allows it.
+
+        Returns
+        -------
+        bool
+            Whether it was charged.
+        """
+        number = self._get_slice_number()
         slices = self.slices_by_service.get(service, ())
         requests = extra = 0
-        for first, asked, sent in slices:
-            # The oldest slice may lie half outside: its sends still count,
-            # its requests do not.
-            if first >= number - SLICES:
-                extra += sent
-            if first > number - SLICES:
-                requests += asked
+        for slice_number, slice_requests, slice_extra in slices:
+            # The oldest slice may be partly outside the window: count its
+            # extra sends, but not its requests.
+            if slice_number >= number - SLICES_PER_WINDOW:
+                extra += slice_extra
+            if slice_number > number - SLICES_PER_WINDOW:
+                requests += slice_requests
         rule = self.rule
-        if self._is_free() and extra + 1 <= requests:
+        if self._covers_one_extra_each() and extra + 1 <= requests:
             self._open_slice(service, number)[2] += 1
             return True
-        room = rule.ratio * requests + rule.base / max(1, self.vms)
-        if extra + 1 > SAFETY * room:
+        allowance = rule.ratio * requests + rule.base / max(1, self.vms)
+        if extra + 1 > USABLE_SHARE * allowance:
             return False
         self._open_slice(service, number)[2] += 1
         return True
 
     def read_peak_requests(self) -> int:
-        """Return the most requests for one service within a window."""
-        oldest = self._read_slice() - SLICES
+        """Return the requests in the last window to the busiest service."""
+        oldest = self._get_slice_number() - SLICES_PER_WINDOW
         return max(
             (
-                sum(asked for first, asked, _ in slices if first > oldest)
+                sum(
+                    slice_requests
+                    for slice_number, slice_requests, _ in slices
+                    if slice_number > oldest
+                )
                 for slices in self.slices_by_service.values()
             ),
             default=0,
         )
 
-    def _is_free(self) -> bool:
-        if self.read_clock() - self.counted_s > COUNT_FRESH_S:
+    def _covers_one_extra_each(self) -> bool:
+        if self.read_clock() - self.totals_s > TOTALS_MAX_AGE_S:
             return False
-        total = FREE_MARGIN * self.total_requests
+        total = GROWTH_MARGIN * self.total_requests
         rule = self.rule
-        room = rule.ratio * self.total_requests + rule.base
-        return 0 < total <= SAFETY * room
+        allowance = rule.ratio * self.total_requests + rule.base
+        return 0 < total <= USABLE_SHARE * allowance
 
-    def _read_slice(self) -> int:
-        return int(self.read_clock() * SLICES / self.rule.window_s)
+    def _get_slice_number(self) -> int:
+        return int(self.read_clock() * SLICES_PER_WINDOW / self.rule.window_s)
 
     def _open_slice(self, service, number):
         slices = self.slices_by_service.get(service)
@@ -121,6 +140,6 @@
             self.slices_by_service[service] = slices
         if not slices or slices[-1][0] != number:
             slices.append([number, 0, 0])
-            while slices[0][0] < number - SLICES:
+            while slices[0][0] < number - SLICES_PER_WINDOW:
                 slices.popleft()
         return slices[-1]
--- a/chervilspindle/routing/routed_request.py
+++ b/chervilspindle/routing/routed_request.py
@@ -1,25 +1,26 @@
-"""What requests to one endpoint and to many have in common.
+"""Base class of requests to one endpoint and to all shards of a route.
 
-A routed request has times at which something is due, sends to endpoints,
-and ends once: with an answer, or because its caller left.
+A routed request has timers, sends to endpoints, and ends once: with an
+answer, or because its caller disconnected.
 """
 
 from chervilspindle.routing import endpoint_calls
 from chervilspindle.routing import policy
 
-MAX_REFUSED_SENDS = 3  # sends beyond the attempts that may run
-CALLER_LEFT_STATUS = 499  # in logs and counters; nobody is there to get it
+# Sends beyond `max_attempts`, possible because refused ones don't count.
+MAX_REFUSED_SENDS = 3
+CALLER_LEFT_STATUS = 499  # for logs and metrics only; never sent
 
 
 class RoutedRequest:
-    """One request of a caller.
+    """One request of a caller; abstract.
 
     Parameters
     ----------
-    incoming : forwarding.Incoming
-    context : forwarding.Context
+    incoming : endpoint_calls.IncomingRequest
+    context : endpoint_calls.Context
     on_done : callable
-        ``on_done(incoming, status, fields)`` after the answer.
+        ``on_done(incoming, status, fields)``, called once at the end.
     """
 
     def __init__(self, incoming, context, on_done):
@@ -36,73 +37,80 @@
             incoming.caller_ms,
             request.is_first,
             context.latency_estimates.part_ms_by_route.get(
-                route.name, policy.FIRST_USUAL_MS
+                route.name, policy.INITIAL_PART_MS
             ),
             context.latency_estimates.lag_ms
-            + context.latency_estimates.compute_answer_ms(route),
+            + context.latency_estimates.estimate_answer_send_ms(route),
         )
         self.message = endpoint_calls.build_message(incoming, context.names)
         self.done = False
         self.timers = []
 
-    def describe(self) -> dict:
-        """Return the fields of the request's log line."""
+    def build_log_fields(self) -> dict:
+        """Return the request-specific fields of the log event."""
         raise NotImplementedError
 
     def stop_sends(self):
-        """Send nothing more; what was sent ends by itself."""
+        """Withdraw what is not sent yet; requests in progress run on."""
         raise NotImplementedError
 
     def cancel_sends(self):
-        """Give up what is in progress."""
+        """Cancel what is in progress."""
         raise NotImplementedError
 
-    def call_at(self, after_ms, callback):
-        """Run `callback` some time after the request was read."""
-        due = self.started_s + after_ms / 1000.0
-        self.timers.append(self.loop.call_at(due, callback))
+    def call_at(self, elapsed_ms, callback):
+        """Run `callback` at a time in ms since the request was read."""
+        due_s = self.started_s + elapsed_ms / 1000.0
+        self.timers.append(self.loop.call_at(due_s, callback))
 
     def read_elapsed_ms(self) -> float:
-        """Return the time since the request was read."""
+        """Return the time in ms since the request was read."""
         return (self.loop.time() - self.started_s) * 1000.0
 
     def read_deadline_s(self) -> float:
-        """Return the loop time at which the request is given up."""
+        """Return the loop time at which the request times out."""
         return self.started_s + self.timing.deadline_ms / 1000.0
 
-    def note_usual(self, took_ms: float):
-        """Take in the time of good answers."""
-        usual = self.context.latency_estimates.part_ms_by_route
+    def record_part_ms(self, took_ms: float):
+        """Update the smoothed part time of the route."""
+        part_ms_by_route = self.context.latency_estimates.part_ms_by_route
         name = self.incoming.route.name
-        usual[name] = policy.smooth_usual(usual.get(name), took_ms)
+        part_ms_by_route[name] = policy.smooth_part_ms(
+            part_ms_by_route.get(name), took_ms
+        )
 
     def watch_caller(self):
-        """Stop working once the caller leaves."""
-        self.incoming.exchange.on_abandoned = self._abandon
+        """End the request when the caller disconnects."""
+        self.incoming.exchange.on_abandoned = self._on_caller_left
 
     def refuse(self, reason):
-        """Answer that the request has not run, and when to come back."""
+        """Answer 503: the request has not run and may be retried."""
         retry_after = b"%.2f" % policy.RETRY_AFTER_S
         self.finish(503, ((b"Retry-After", retry_after),), b"", reason)
 
     def finish(self, status, headers, body, reason):
-        """Answer; what is still in progress ends by itself."""
-        self._end()
+        """Answer the caller and end the request.
+
+        Sends in progress run on.
+        """
+        self._close()
         self.incoming.exchange.respond(status, headers, body)
-        self.on_done(self.incoming, status, {"why": reason, **self.describe()})
+        self.on_done(
+            self.incoming, status, {"why": reason, **self.build_log_fields()}
+        )
 
-    def _abandon(self):
+    def _on_caller_left(self):
         if self.done:
             return
-        self._end()
-        fields = {"why": "caller_left", **self.describe()}
+        self._close()
+        fields = {"why": "caller_left", **self.build_log_fields()}
         self.on_done(self.incoming, CALLER_LEFT_STATUS, fields)
         if self.incoming.route.idempotent:
             self.loop.call_later(
-                endpoint_calls.ABANDON_DELAY_S, self.cancel_sends
+                endpoint_calls.CALLER_LEFT_CANCEL_DELAY_S, self.cancel_sends
             )
 
-    def _end(self):
+    def _close(self):
         self.done = True
         for timer in self.timers:
             timer.cancel()
--- a/chervilspindle/routing/single_endpoint.py
+++ b/chervilspindle/routing/single_endpoint.py
@@ -1,28 +1,32 @@
-"""A request that one endpoint answers, passed through unchanged."""
+"""Requests that are forwarded unchanged to one endpoint of a service."""
 
 from chervilspindle.routing import endpoint_calls
 from chervilspindle.routing import routed_request
 from chervilspindle.wire import endpoint_http
 from chervilspindle.wire import http_server
 
-PROMISES_NOT_RUN = (408, 421, 429, 503)
+# By these statuses, callers may assume that the request has not run.
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 
 
-class Forward(routed_request.RoutedRequest):
-    """One request to one endpoint of a service."""
+class SingleEndpointRequest(routed_request.RoutedRequest):
+    """One request to a service, sent to one endpoint at a time.
+
+    Idempotent requests may be hedged to a second endpoint.
+    """
 
     def __init__(self, incoming, service, context, on_done):
         super().__init__(incoming, context, on_done)
         self.service = service
         self.calls = []
         self.tried = []
-        self.may_have_run = 0
-        self.sends = 0
+        self.possible_runs = 0
+        self.send_count = 0
         self.last_failure = None
         self.last_reason = ""
 
     def start(self):
-        """Send to the best endpoint, or refuse without one."""
+        """Send to the endpoint with the lowest cost, or refuse if none."""
         self.context.budget.count_requests((self.service,))
         target = self.context.table.choose(self.service)
         if target is None:
@@ -33,7 +37,7 @@
             return
         if self.incoming.route.idempotent:
             self.call_at(self.timing.hedge_ms, self._hedge)
-        self.call_at(self.timing.deadline_ms, self._expire)
+        self.call_at(self.timing.deadline_ms, self._on_deadline)
         self.watch_caller()
 
     def _send(self, target):
@@ -44,118 +48,120 @@
             endpoint_id,
             self.read_deadline_s(),
             self.loop.time(),
-            self._end_call,
+            self._on_call_ended,
             self.incoming.route.idempotent,
         )
         call.context = target
         self.calls.append(call)
         self.tried.append(endpoint_id)
-        self.sends += 1
-        self.may_have_run += 1
+        self.send_count += 1
+        self.possible_runs += 1
         target.pool.submit(call)
 
-    def _end_call(self, call, answer):
+    def _on_call_ended(self, call, answer):
         target = call.context
         self.calls.remove(call)
-        verdict = endpoint_calls.take_answer(
+        outcome = endpoint_calls.handle_answer(
             target, call, answer, self.context
         )
-        if not verdict.ran:
-            self.may_have_run -= 1
+        if not outcome.may_have_run:
+            self.possible_runs -= 1
         if self.done:
             return
-        if verdict.good:
-            self.note_usual((self.loop.time() - call.sent_s) * 1000.0)
-            self._pass_on(answer, "ok")
+        if outcome.succeeded:
+            self.record_part_ms((self.loop.time() - call.sent_s) * 1000.0)
+            self._forward_answer(answer, "ok")
             return
-        self.last_reason = verdict.reason
-        self.context.metrics.count_failure(verdict.reason)
-        if verdict.ran and _may_pass_on(answer):
+        self.last_reason = outcome.reason
+        self.context.metrics.count_failure(outcome.reason)
+        if outcome.may_have_run and _is_forwardable(answer):
             self.last_failure = answer
         if self.calls:
             return
-        if self._may_send() and self._send_again("retry"):
+        if self._may_resend() and self._resend("retry"):
             return
-        self._end_failed()
+        self._answer_failure()
 
-    def _may_send(self) -> bool:
+    def _may_resend(self) -> bool:
         route = self.incoming.route
-        if self.sends >= route.max_attempts + routed_request.MAX_REFUSED_SENDS:
+        if self.send_count >= (
+            route.max_attempts + routed_request.MAX_REFUSED_SENDS
+        ):
             return False
         if route.idempotent:
-            return self.may_have_run < route.max_attempts
-        return self.may_have_run == 0
+            return self.possible_runs < route.max_attempts
+        return self.possible_runs == 0
 
-    def _send_again(self, cause) -> bool:
+    def _resend(self, cause) -> bool:
         target = self.context.table.choose(self.service, self.tried)
         if target is None:
             return False
         if not self.context.budget.spend(self.service):
-            self.context.metrics.count_extra("over_budget")
+            self.context.metrics.count_extra_send("over_budget")
             return False
-        self.context.metrics.count_extra(cause)
+        self.context.metrics.count_extra_send(cause)
         self._send(target)
         return True
 
     def _hedge(self):
-        if not self.done and self.calls and self._may_send():
-            self._send_again("hedge")
+        if not self.done and self.calls and self._may_resend():
+            self._resend("hedge")
 
-    def _expire(self):
+    def _on_deadline(self):
         if self.done:
             return
-        if self.may_have_run > self._count_unsent():
+        if self.possible_runs > self._count_unsent():
             self.finish(504, (), b"", "deadline")
         else:
             self.refuse("deadline")
 
-    def _end_failed(self):
-        if self.may_have_run == 0:
+    def _answer_failure(self):
+        if self.possible_runs == 0:
             self.refuse(self.last_reason)
         elif self.last_failure is not None:
-            self._pass_on(self.last_failure, self.last_reason)
+            self._forward_answer(self.last_failure, self.last_reason)
         else:
             self.finish(502, (), b"", self.last_reason)
 
-    def _pass_on(self, answer, reason):
+    def _forward_answer(self, answer, reason):
         headers = tuple(
             h for h in answer.headers if h[0] not in http_server.HOP_BY_HOP
         )
         self.finish(answer.status, headers, answer.body, reason)
 
-    def describe(self) -> dict:
-        """Return the fields of the request's log line."""
+    def build_log_fields(self) -> dict:
+        """Return the request-specific fields of the log event."""
         return {
             "service": self.service,
-            "sends": self.sends,
+            "sends": self.send_count,
             "endpoints": list(self.tried),
         }
 
     def stop_sends(self):
-        """Send nothing more; what was sent ends by itself."""
+        """Withdraw what is not sent yet; requests in progress run on."""
         for call in list(self.calls):
             if call.connection is None:
                 call.cancel()
 
     def cancel_sends(self):
-        """Give up what is in progress."""
+        """Cancel what is in progress."""
         for call in list(self.calls):
             call.cancel()
 
     def _count_unsent(self) -> int:
-        """Return how many sends still wait for a connection.
+        """Return how many calls are waiting for a connection.
 
-        They are withdrawn when the request ends, so they will never run.
+        They are withdrawn when the request ends, so they never run.
         """
         return sum(1 for c in self.calls if c.connection is None)
 
 
-def _may_pass_on(answer) -> bool:
-    """Tell whether a failed answer may reach the caller as it is.
+def _is_forwardable(answer) -> bool:
+    """Tell whether a failed answer may be forwarded to the caller.
 
-    Not a success without a signature, nor a status that promises that the
-    request has not run, when the endpoint did not say so itself.
+    Excluded are successes without a signature, and statuses that imply that
+    the request has not run when the endpoint did not state that.
     """
     if answer.ending is not endpoint_http.Ending.ANSWERED:
         return False
-    return answer.status >= 300 and answer.status not in PROMISES_NOT_RUN
+    return answer.status >= 300 and answer.status not in NOT_RUN_STATUSES
