--- a/chervilspindle/routing/direct_dispatch.py
+++ b/chervilspindle/routing/direct_dispatch.py
@@ -15,7 +15,7 @@
     Parameters
     ----------
     context : endpoint_calls.Context
-    message : endpoint_calls.RequestTemplate
+    template : endpoint_calls.RequestTemplate
     request_id : bytes
     deadline_s : float
         Loop time until which endpoints may answer.
@@ -27,9 +27,9 @@
 
     presumed_lost = False  # only relays are presumed lost as a whole
 
-    def __init__(self, context, message, request_id, deadline_s, listener):
+    def __init__(self, context, template, request_id, deadline_s, listener):
         self.context = context
-        self.message = message
+        self.template = template
         self.request_id = request_id
         self.deadline_s = deadline_s
         self.listener = listener
@@ -50,7 +50,7 @@
                 continue
             endpoint_id = target.endpoint.endpoint_id
             call = endpoint_calls.build_call(
-                self.message,
+                self.template,
                 self.request_id,
                 endpoint_id,
                 self.deadline_s,
--- a/chervilspindle/routing/endpoint_calls.py
+++ b/chervilspindle/routing/endpoint_calls.py
@@ -126,7 +126,7 @@
     latency_estimates : LatencyEstimates
     metrics : RoutingMetrics
     random : random.Random
-    relays : relaying.RelayClient
+    relays : relayed_query.RelayClient
     shedder : overload.Shedder
     """
 
@@ -192,10 +192,10 @@
         )
 
 
-def build_message(
+def build_request_template(
     incoming: IncomingRequest, names: EncodedHeaderNames
 ) -> RequestTemplate:
-    """Return the template for sending a caller's request to endpoints."""
+    """Build the template for sending a caller's request to endpoints."""
     request = incoming.exchange.request
     forwarded = select_headers(request.headers, names.lower)
     lines = [b"%s %s HTTP/1.1\r\n" % (request.method, request.target)]
@@ -259,7 +259,7 @@
 
 
 def build_call(
-    message: RequestTemplate,
+    template: RequestTemplate,
     request_id: bytes,
     endpoint_id: str,
     deadline_s: float,
@@ -269,7 +269,7 @@
 ) -> endpoint_http.Call:
     """Build the call to one endpoint with the remaining time."""
     return endpoint_http.Call(
-        message.build(endpoint_id, (deadline_s - now) * 1000.0),
+        template.build(endpoint_id, (deadline_s - now) * 1000.0),
         request_id,
         deadline_s + DEADLINE_GRACE_S,
         on_end,
--- a/chervilspindle/routing/fanout.py
+++ b/chervilspindle/routing/fanout.py
@@ -25,11 +25,11 @@
     Attributes
     ----------
     service : str
-    group : relays.Group or None
+    group : relay_selection.ShardGroup or None
         None if it is sent from this process.
     open_dispatches : list
-        `direct_dispatch.DirectDispatch` or `relaying.RelayedParts` in
-        progress that include this shard.
+        `direct_dispatch.DirectDispatch` or `relayed_query.RelayedDispatch`
+        in progress that include this shard.
     tried : list of str
         Ids of the endpoints it was sent to, as far as known.
     relays_tried : tuple of str
@@ -141,7 +141,7 @@
     def _send_directly(self, shards):
         dispatch = direct_dispatch.DirectDispatch(
             self.context,
-            self.message,
+            self.template,
             self.incoming.request_id,
             self.read_deadline_s(),
             self,
@@ -165,7 +165,7 @@
             relay,
             tuple(s.service for s in shards),
             tried,
-            self.message,
+            self.template,
             request,
             self,
         )
--- a/chervilspindle/routing/routed_request.py
+++ b/chervilspindle/routing/routed_request.py
@@ -42,7 +42,9 @@
             context.latency_estimates.lag_ms
             + context.latency_estimates.estimate_answer_send_ms(route),
         )
-        self.message = endpoint_calls.build_message(incoming, context.names)
+        self.template = endpoint_calls.build_request_template(
+            incoming, context.names
+        )
         self.done = False
         self.timers = []
 
--- a/chervilspindle/routing/single_endpoint.py
+++ b/chervilspindle/routing/single_endpoint.py
@@ -43,7 +43,7 @@
     def _send(self, target):
         endpoint_id = target.endpoint.endpoint_id
         call = endpoint_calls.build_call(
-            self.message,
+            self.template,
             self.incoming.request_id,
             endpoint_id,
             self.read_deadline_s(),
