--- a/chervilspindle/routing/endpoint_calls.py
+++ b/chervilspindle/routing/endpoint_calls.py
@@ -8,7 +8,7 @@
 
 from chervilspindle.routing import documents
 from chervilspindle.routing import endpoints
-from chervilspindle.routing import policy
+from chervilspindle.routing import request_timing
 from chervilspindle.routing import retry_budget
 from chervilspindle.routing import selection
 from chervilspindle.wire import endpoint_http
@@ -103,13 +103,13 @@
 
     def __init__(self, core_share: float = 1.0, link_mbps: float = 1000.0):
         self.part_ms_by_route = {}
-        self.lag_ms = policy.INITIAL_LAG_CORE_MS / core_share
+        self.lag_ms = request_timing.INITIAL_LAG_CORE_MS / core_share
         self.core_share = core_share
         self.link_mbps = link_mbps
 
     def estimate_answer_send_ms(self, route: documents.Route) -> float:
         """Return the time to build and send an answer, in ms."""
-        return policy.estimate_answer_send_ms(
+        return request_timing.estimate_answer_send_ms(
             len(route.shards), self.core_share, self.link_mbps
         )
 
--- a/chervilspindle/routing/fanout.py
+++ b/chervilspindle/routing/fanout.py
@@ -11,7 +11,7 @@
 from chervilspindle.routing import direct_dispatch
 from chervilspindle.routing import overload
 from chervilspindle.routing import part_merging
-from chervilspindle.routing import policy
+from chervilspindle.routing import request_timing
 from chervilspindle.routing import routed_request
 from chervilspindle.wire import messages
 
@@ -74,7 +74,7 @@
         super().__init__(incoming, context, on_done)
         route = incoming.route
         self.shard_by_service = {s: ShardState(s) for s in route.shards}
-        self.required = policy.count_required_shards(
+        self.required = request_timing.count_required_shards(
             len(route.shards), route.min_coverage
         )
         self.part_set_by_service = {}
@@ -153,7 +153,7 @@
     def _send_via_relay(self, relay, shards, tried):
         elapsed_ms = self.read_elapsed_ms()
         report_ms = max(
-            policy.MIN_REPORT_MS, self.timing.report_ms - elapsed_ms
+            request_timing.MIN_REPORT_MS, self.timing.report_ms - elapsed_ms
         )
         request = messages.RelayedRequest(
             self.incoming.request_id,
@@ -271,7 +271,7 @@
         self.past_answer_time = True
         estimates = self.context.latency_estimates
         late_ms = self.read_elapsed_ms() - self.timing.answer_ms
-        estimates.lag_ms = policy.smooth_lag(estimates.lag_ms, late_ms)
+        estimates.lag_ms = request_timing.smooth_lag(estimates.lag_ms, late_ms)
         if not self.done and len(self.part_set_by_service) >= self.required:
             self._answer("objective")
 
@@ -291,12 +291,17 @@
         unanswered = shards - len(self.part_set_by_service)
         elapsed_ratio = elapsed / self.timing.hedge_ms
         if not hedging.is_straggler(
-            shards, unanswered, elapsed_ratio, policy.MAX_STRAGGLER_SHARE
+            shards,
+            unanswered,
+            elapsed_ratio,
+            request_timing.MAX_STRAGGLER_SHARE,
         ):
             self.call_at(elapsed + HEDGE_RECHECK_MS, self._hedge)
             return
         # A relay about to report may already hold the parts.
-        in_grace = elapsed < self.timing.hedge_ms + policy.REPORT_GRACE_MS
+        in_grace = (
+            elapsed < self.timing.hedge_ms + request_timing.REPORT_GRACE_MS
+        )
         table = self.context.table
         to_hedge = []
         recheck = False
--- a/chervilspindle/routing/policy_test.py
+++ b/chervilspindle/routing/request_timing_test.py
@@ -9,7 +9,7 @@
 
 from chervilspindle.routing import endpoints
 from chervilspindle.routing import merge
-from chervilspindle.routing import policy
+from chervilspindle.routing import request_timing
 from chervilspindle.routing import retry_budget
 from chervilspindle.routing import selection
 
@@ -17,55 +17,67 @@
 
 
 def test_answer_time_reserves_the_return_trip():
-    reused = policy.plan_timing(44.0, 600.0, 601.0, False, 4.0)
-    first = policy.plan_timing(44.0, 600.0, 601.0, True, 4.0)
-    assert reused.answer_ms + 2 * policy.CALLER_ONE_WAY_MS < 44.0
-    assert first.answer_ms == reused.answer_ms - policy.CALLER_CONNECT_MS
+    reused = request_timing.plan_timing(44.0, 600.0, 601.0, False, 4.0)
+    first = request_timing.plan_timing(44.0, 600.0, 601.0, True, 4.0)
+    assert reused.answer_ms + 2 * request_timing.CALLER_ONE_WAY_MS < 44.0
+    assert (
+        first.answer_ms == reused.answer_ms - request_timing.CALLER_CONNECT_MS
+    )
     assert first.hedge_ms < first.answer_ms / 2
 
 
 def test_answer_time_is_earlier_on_a_slow_vm_and_link():
     assert (
-        policy.estimate_answer_send_ms(20, 0.731, 350.0)
-        == policy.MIN_ANSWER_SEND_MS
+        request_timing.estimate_answer_send_ms(20, 0.731, 350.0)
+        == request_timing.MIN_ANSWER_SEND_MS
     )
-    narrow = policy.estimate_answer_send_ms(90, 0.361, 13.5)
-    wide = policy.estimate_answer_send_ms(135, 0.361, 13.5)
+    narrow = request_timing.estimate_answer_send_ms(90, 0.361, 13.5)
+    wide = request_timing.estimate_answer_send_ms(135, 0.361, 13.5)
     assert wide > narrow > 4.0
-    slow = policy.plan_timing(95.0, 600.0, 601.0, False, 4.0, wide)
-    fast = policy.plan_timing(95.0, 600.0, 601.0, False, 4.0)
+    slow = request_timing.plan_timing(95.0, 600.0, 601.0, False, 4.0, wide)
+    fast = request_timing.plan_timing(95.0, 600.0, 601.0, False, 4.0)
     earlier_ms = fast.answer_ms - slow.answer_ms
-    assert earlier_ms == pytest.approx(wide - policy.MIN_ANSWER_SEND_MS)
+    assert earlier_ms == pytest.approx(
+        wide - request_timing.MIN_ANSWER_SEND_MS
+    )
 
 
 def test_answer_time_is_earlier_when_the_process_lags():
     lag = 0.0
     for _ in range(10):
-        lag = policy.smooth_lag(lag, 6.0)
+        lag = request_timing.smooth_lag(lag, 6.0)
     assert 5.0 < lag <= 6.0
-    idle = policy.plan_timing(44.0, 600.0, 601.0, False, 4.0)
-    answer_send_ms = policy.MIN_ANSWER_SEND_MS + lag
-    busy = policy.plan_timing(44.0, 600.0, 601.0, False, 4.0, answer_send_ms)
+    idle = request_timing.plan_timing(44.0, 600.0, 601.0, False, 4.0)
+    answer_send_ms = request_timing.MIN_ANSWER_SEND_MS + lag
+    busy = request_timing.plan_timing(
+        44.0, 600.0, 601.0, False, 4.0, answer_send_ms
+    )
     assert busy.answer_ms == pytest.approx(idle.answer_ms - lag)
-    assert policy.smooth_lag(lag, 500.0) <= policy.MAX_LAG_MS
+    assert request_timing.smooth_lag(lag, 500.0) <= request_timing.MAX_LAG_MS
 
 
 def test_deadline_is_the_earlier_of_route_timeout_and_caller():
-    assert policy.plan_timing(0, 500.0, 200.0, False, 4.0).deadline_ms == 200.0
-    assert policy.plan_timing(0, 500.0, None, False, 4.0).deadline_ms == 500.0
+    assert (
+        request_timing.plan_timing(0, 500.0, 200.0, False, 4.0).deadline_ms
+        == 200.0
+    )
+    assert (
+        request_timing.plan_timing(0, 500.0, None, False, 4.0).deadline_ms
+        == 500.0
+    )
 
 
 def test_required_coverage_is_rounded_up_to_whole_shards():
-    assert policy.count_required_shards(20, 0.75) == 15
-    assert policy.count_required_shards(20, 0.89) == 18
-    assert policy.count_required_shards(30, 0.9) == 27
-    assert policy.count_required_shards(3, 0.0) == 1
+    assert request_timing.count_required_shards(20, 0.75) == 15
+    assert request_timing.count_required_shards(20, 0.89) == 18
+    assert request_timing.count_required_shards(30, 0.9) == 27
+    assert request_timing.count_required_shards(3, 0.0) == 1
 
 
 def test_a_few_late_parts_hardly_change_the_smoothed_time():
     part_ms = None
     for sample in [10.0] * 50 + [500.0] * 3:
-        part_ms = policy.smooth_part_ms(part_ms, sample)
+        part_ms = request_timing.smooth_part_ms(part_ms, sample)
     assert part_ms < 13.0
 
 
--- a/chervilspindle/routing/routed_request.py
+++ b/chervilspindle/routing/routed_request.py
@@ -5,7 +5,7 @@
 """
 
 from chervilspindle.routing import endpoint_calls
-from chervilspindle.routing import policy
+from chervilspindle.routing import request_timing
 
 # Sends beyond `max_attempts`, possible because refused ones don't count.
 MAX_REFUSED_SENDS = 3
@@ -31,13 +31,13 @@
         route = incoming.route
         request = incoming.exchange.request
         self.started_s = request.received_s
-        self.timing = policy.plan_timing(
+        self.timing = request_timing.plan_timing(
             route.objective_ms,
             route.timeout_ms,
             incoming.caller_ms,
             request.is_first,
             context.latency_estimates.part_ms_by_route.get(
-                route.name, policy.INITIAL_PART_MS
+                route.name, request_timing.INITIAL_PART_MS
             ),
             context.latency_estimates.lag_ms
             + context.latency_estimates.estimate_answer_send_ms(route),
@@ -77,7 +77,7 @@
         """Update the smoothed part time of the route."""
         part_ms_by_route = self.context.latency_estimates.part_ms_by_route
         name = self.incoming.route.name
-        part_ms_by_route[name] = policy.smooth_part_ms(
+        part_ms_by_route[name] = request_timing.smooth_part_ms(
             part_ms_by_route.get(name), took_ms
         )
 
@@ -87,7 +87,7 @@
 
     def refuse(self, reason):
         """Answer 503: the request has not run and may be retried."""
-        retry_after = b"%.2f" % policy.RETRY_AFTER_S
+        retry_after = b"%.2f" % request_timing.RETRY_AFTER_S
         self.finish(503, ((b"Retry-After", retry_after),), b"", reason)
 
     def finish(self, status, headers, body, reason):
