--- a/chervilspindle/routing/data_path_test.py
+++ b/chervilspindle/routing/data_path_test.py
@@ -16,8 +16,8 @@
 from chervilspindle.routing import documents
 from chervilspindle.routing import endpoint_calls
 from chervilspindle.routing import entry as entry_module
-from chervilspindle.routing import merge
 from chervilspindle.routing import metrics as metrics_module
+from chervilspindle.routing import record_merging
 from chervilspindle.routing import retry_budget
 from chervilspindle.routing import selection
 from chervilspindle.tools import backends
@@ -222,7 +222,7 @@
             world.backend_by_id[f"{s}-a"].build_body(b"id-1") for s in SHARDS
         ]
         assert status == 200 and read_missing(headers) == 0
-        assert body == merge.merge_top(parts, 5)
+        assert body == record_merging.merge_top(parts, 5)
         assert len(set(read_stamps(headers))) == len(SHARDS)
         run = world.list_runs("shard-0")[0]
         assert (run.method, run.target) == ("GET", "/all/x?q=1")
--- a/chervilspindle/routing/part_merging.py
+++ b/chervilspindle/routing/part_merging.py
@@ -5,7 +5,7 @@
 used as a whole: the records of one shard can't be removed from it.
 """
 
-from chervilspindle.routing import merge
+from chervilspindle.routing import record_merging
 from chervilspindle.wire import messages
 
 
@@ -57,5 +57,5 @@
     return messages.PartSet(
         tuple(s for p in part_sets for s in p.services),
         b", ".join(p.stamps for p in part_sets),
-        merge.merge_top([p.body for p in part_sets], top_k),
+        record_merging.merge_top([p.body for p in part_sets], top_k),
     )
--- a/chervilspindle/routing/relaying_test.py
+++ b/chervilspindle/routing/relaying_test.py
@@ -12,8 +12,8 @@
 from chervilspindle.routing import data_path_test
 from chervilspindle.routing import documents
 from chervilspindle.routing import entry as entry_module
-from chervilspindle.routing import merge
 from chervilspindle.routing import metrics as metrics_module
+from chervilspindle.routing import record_merging
 from chervilspindle.routing import relaying
 from chervilspindle.routing import retry_budget
 from chervilspindle.tools import backends
@@ -182,7 +182,7 @@
             self.backend_by_id[name].build_body(request_id.encode())
             for name in named
         ]
-        assert body == merge.merge_top(bodies, 20)
+        assert body == record_merging.merge_top(bodies, 20)
 
 
 @pytest.fixture
--- a/chervilspindle/routing/request_timing_test.py
+++ b/chervilspindle/routing/request_timing_test.py
@@ -8,7 +8,7 @@
 import pytest
 
 from chervilspindle.routing import endpoints
-from chervilspindle.routing import merge
+from chervilspindle.routing import record_merging
 from chervilspindle.routing import request_timing
 from chervilspindle.routing import retry_budget
 from chervilspindle.routing import selection
@@ -91,7 +91,7 @@
         for start in range(0, len(body) - 15, 16):
             records.append(body[start : start + 16])
     expected = b"".join(sorted(records, reverse=True)[:count])
-    assert merge.merge_top(bodies, count) == expected
+    assert record_merging.merge_top(bodies, count) == expected
 
 
 def test_an_unresponsive_endpoint_costs_more_than_another_zone():
--- a/chervilspindle/tools/soak.py
+++ b/chervilspindle/tools/soak.py
@@ -22,7 +22,7 @@
 from chervilspindle.core import loops
 from chervilspindle.platform import names
 from chervilspindle.platform import samples
-from chervilspindle.routing import merge
+from chervilspindle.routing import record_merging
 from chervilspindle.tools import backends
 from chervilspindle.tools import fault_proxy
 
@@ -389,7 +389,7 @@
         bodies = [
             by_service[s].build_body(request_id.encode()) for s in services
         ]
-        if body != merge.merge_top(bodies, TOP_K):
+        if body != record_merging.merge_top(bodies, TOP_K):
             self.find("wrong records", request_id)
 
     def _check_single(self, request_id, headers, body):
--- a/chervilspindle/tools/soak_test.py
+++ b/chervilspindle/tools/soak_test.py
@@ -4,7 +4,7 @@
 import uvloop
 
 from chervilspindle.platform import names
-from chervilspindle.routing import merge
+from chervilspindle.routing import record_merging
 from chervilspindle.tools import soak
 
 # Seeds that failed once stay here, each with its cause.
@@ -35,7 +35,7 @@
         names.HEADERS.part_stamps.lower(): stamps,
         names.HEADERS.missing_parts.lower(): str(missing),
     }
-    return headers, merge.merge_top(bodies, soak.TOP_K)
+    return headers, record_merging.merge_top(bodies, soak.TOP_K)
 
 
 def list_promises(judge):
