--- a/chervilspindle/routing/endpoint_calls.py
+++ b/chervilspindle/routing/endpoint_calls.py
@@ -82,7 +82,7 @@
 
 
 class LatencyEstimates:
-    """Latencies of parts and of this process, for `policy`; mutable.
+    """Latencies of parts and of this process, for `request_timing`; mutable.
 
     Attributes
     ----------
--- a/chervilspindle/routing/fanout.py
+++ b/chervilspindle/routing/fanout.py
@@ -15,7 +15,7 @@
 from chervilspindle.routing import routed_request
 from chervilspindle.wire import messages
 
-HEDGE_RECHECK_MS = 2.0  # well below `policy.MIN_HEDGE_MS`
+HEDGE_RECHECK_MS = 2.0  # well below `request_timing.MIN_HEDGE_MS`
 MAX_LOGGED_RESENDS = 8  # per request
 
 
