--- a/chervilspindle/routing/data_path_test.py
+++ b/chervilspindle/routing/data_path_test.py
@@ -172,7 +172,7 @@
     return int(head[0].split()[1]), headers, body
 
 
-def play_world(build_world, test, limit_s):
+def run_in_world(build_world, test, limit_s):
     """Run a coroutine function with a started world, within a time limit.
 
     Garbage collection is off: a full collection of a test process takes 80
@@ -201,7 +201,7 @@
 @pytest.fixture
 def run_test():
     def run(test, **options):
-        play_world(lambda loop: World(loop, **options), test, 10)
+        run_in_world(lambda loop: World(loop, **options), test, 10)
 
     return run
 
--- a/chervilspindle/routing/relaying_test.py
+++ b/chervilspindle/routing/relaying_test.py
@@ -188,7 +188,7 @@
 @pytest.fixture
 def play():
     def run(test):
-        data_path_test.play_world(World, test, 20)
+        data_path_test.run_in_world(World, test, 20)
 
     return run
 
