--- a/chervilspindle/routing/fanout.py
+++ b/chervilspindle/routing/fanout.py
@@ -111,10 +111,10 @@
         if self.done:
             return
         timing = self.timing
-        self.call_at(timing.hedge_ms, self._hedge)
+        self.schedule_at_ms(timing.hedge_ms, self._hedge)
         if timing.answer_ms < timing.deadline_ms:
-            self.call_at(timing.answer_ms, self._on_answer_time)
-        self.call_at(timing.deadline_ms, self._on_deadline)
+            self.schedule_at_ms(timing.answer_ms, self._on_answer_time)
+        self.schedule_at_ms(timing.deadline_ms, self._on_deadline)
         self.watch_caller()
 
     def _send_all(self):
@@ -296,7 +296,7 @@
             elapsed_ratio,
             request_timing.MAX_STRAGGLER_SHARE,
         ):
-            self.call_at(elapsed + HEDGE_RECHECK_MS, self._hedge)
+            self.schedule_at_ms(elapsed + HEDGE_RECHECK_MS, self._hedge)
             return
         # A relay about to report may already hold the parts.
         in_grace = (
@@ -321,7 +321,7 @@
         for _ in hedged:
             self.context.metrics.count_extra_send("hedge")
         if recheck and not self.done:
-            self.call_at(elapsed + HEDGE_RECHECK_MS, self._hedge)
+            self.schedule_at_ms(elapsed + HEDGE_RECHECK_MS, self._hedge)
 
     def _presume_relay_lost(self, dispatch):
         if not dispatch.presumed_lost:
--- a/chervilspindle/routing/request_timing.py
+++ b/chervilspindle/routing/request_timing.py
@@ -80,7 +80,7 @@
     part_ms : float
         Smoothed part time of the route.
     answer_send_ms : float
-        Time needed to build and send the answer.
+        From the due time of the answer until it is sent, lag included.
     """
     deadline = timeout_ms
     if caller_ms is not None:
--- a/chervilspindle/routing/routed_request.py
+++ b/chervilspindle/routing/routed_request.py
@@ -60,7 +60,7 @@
         """Cancel what is in progress."""
         raise NotImplementedError
 
-    def call_at(self, elapsed_ms, callback):
+    def schedule_at_ms(self, elapsed_ms, callback):
         """Run `callback` at a time in ms since the request was read."""
         due_s = self.started_s + elapsed_ms / 1000.0
         self.timers.append(self.loop.call_at(due_s, callback))
--- a/chervilspindle/routing/single_endpoint.py
+++ b/chervilspindle/routing/single_endpoint.py
@@ -36,8 +36,8 @@
         if self.done:
             return
         if self.incoming.route.idempotent:
-            self.call_at(self.timing.hedge_ms, self._hedge)
-        self.call_at(self.timing.deadline_ms, self._on_deadline)
+            self.schedule_at_ms(self.timing.hedge_ms, self._hedge)
+        self.schedule_at_ms(self.timing.deadline_ms, self._on_deadline)
         self.watch_caller()
 
     def _send(self, target):
