--- a/bench/data_path_cost.py
+++ b/bench/data_path_cost.py
@@ -55,7 +55,7 @@
     timers = timers_module.TimerService(clock)
     context = contexts.build_context(
         loop,
-        contexts.Place("vm-1", "a"),
+        contexts.VmProfile("vm-1", "a"),
         platform_names.HEADERS,
         retry_budget.Rule(0.2, 100.0, 10.0),
         peer.PeerNetwork(clock, timers, b"", None, streams.LoopStreams(loop)),
@@ -68,7 +68,9 @@
     route = documents.Route(
         "all", "h", "/", True, 2000.0, 500.0, 1, 2, (), shards, 20, 0.5
     )
-    entry.put_document(documents.Document(1, (route,), {}, documents.Limits()))
+    entry.update_document(
+        documents.Document(1, (route,), {}, documents.Limits())
+    )
     for number, address in enumerate(addresses):
         table.put(
             rows.Endpoint(
--- a/chervilspindle/routing/endpoints.py
+++ b/chervilspindle/routing/endpoints.py
@@ -140,7 +140,7 @@
     def compute_cost(self, target: Target, now: float, best_ms) -> float:
         """Return the cost of sending to an endpoint; see `selection`."""
         pool = target.pool
-        view = selection.View(
+        view = selection.CandidateState(
             len(pool.running),
             pool.read_silence(now) * 1000.0,
             target.same_zone,
@@ -174,10 +174,10 @@
     """Return the least typical time of some endpoints, in ms."""
     best = math.inf
     for target in targets:
-        typical = target.health.typical_ms
+        typical = target.health.baseline_ms
         if typical is not None and typical < best:
             best = typical
-    return selection.FIRST_GUESS_MS if best == math.inf else best
+    return selection.INITIAL_ANSWER_MS if best == math.inf else best
 
 
 def _is_same_process(known, endpoint):
--- a/chervilspindle/routing/process.py
+++ b/chervilspindle/routing/process.py
@@ -21,9 +21,9 @@
 from chervilspindle.core import loops
 from chervilspindle.core import timers as timers_module
 from chervilspindle.routing import contexts
+from chervilspindle.routing import endpoint_calls
 from chervilspindle.routing import entry as entry_module
 from chervilspindle.routing import follower as follower_module
-from chervilspindle.routing import forwarding
 from chervilspindle.routing import keeper as keeper_module
 from chervilspindle.routing import metrics as metrics_module
 from chervilspindle.routing import relaying
@@ -112,7 +112,7 @@
         Returns the `RoutingSettings` in force.
     """
 
-    names: forwarding.HeaderNames
+    names: endpoint_calls.HeaderNames
     ready_path: bytes
     decode_document: abc.Callable
     build_control_handler: abc.Callable
@@ -199,7 +199,7 @@
         settings = self.settings
         context = contexts.build_context(
             self.loop,
-            contexts.Place(
+            contexts.VmProfile(
                 settings.vm_id,
                 settings.zone,
                 settings.core_share,
@@ -226,7 +226,7 @@
             self.timers,
             self._take_delta,
             self._take_count,
-            self.context.budget.read_requests,
+            self.context.budget.read_peak_requests,
             context.relays.table.put_relays,
         )
         self.front = None
@@ -314,14 +314,14 @@
 
     def _take_document(self, stored):
         document = self.adapter.decode_document(stored.data)
-        if self.entry.put_document(document):
-            self.context.relays.table.put_document(document)
+        if self.entry.update_document(document):
+            self.context.relays.table.update_document(document)
             self._share_connections()
 
     def _take_count(self, vms, requests):
         budget = self.context.budget
         known_vms = budget.vms
-        budget.note_total(vms, requests)
+        budget.update_totals(vms, requests)
         rate = requests / budget.rule.window_s if vms else None
         self.context.relays.table.put_rate(rate)
         if vms != known_vms:
--- a/chervilspindle/routing/relaying.py
+++ b/chervilspindle/routing/relaying.py
@@ -10,9 +10,9 @@
 import itertools
 
 from chervilspindle.core import logs
-from chervilspindle.routing import forwarding
-from chervilspindle.routing import parts
-from chervilspindle.routing import parts_query
+from chervilspindle.routing import direct_dispatch
+from chervilspindle.routing import endpoint_calls
+from chervilspindle.routing import part_merging
 from chervilspindle.wire import messages
 
 GATHER_S = 0.002  # parts that come together are reported together
@@ -39,7 +39,7 @@
         self.reported = False
         self.presumed_lost = False
 
-    def is_silent(self) -> bool:
+    def awaits_report(self) -> bool:
         """Tell whether the relay has not reported yet."""
         return not self.reported
 
@@ -204,9 +204,11 @@
         self.loop = context.loop
         request = call.request
         started_s = self.loop.time()
-        self.query = parts_query.PartsQuery(
+        self.query = direct_dispatch.DirectDispatch(
             context,
-            forwarding.Message(call.head, call.tail, context.names.sent),
+            endpoint_calls.RequestTemplate(
+                call.head, call.tail, context.names.sent
+            ),
             request.request_id,
             started_s + request.left_ms / 1000.0,
             self,
@@ -281,7 +283,9 @@
         if not self.first_sent:
             in_progress = tuple(self.endpoint_by_service.items())
             if len(found) > 1:
-                found = (parts.merge_parts(found, self.call.request.top_k),)
+                found = (
+                    part_merging.merge_parts(found, self.call.request.top_k),
+                )
         self.parts, self.losses = [], []
         self._send_report(found, losses, in_progress)
 
--- a/chervilspindle/routing/relaying_test.py
+++ b/chervilspindle/routing/relaying_test.py
@@ -12,8 +12,8 @@
 from chervilspindle.routing import data_path_test
 from chervilspindle.routing import documents
 from chervilspindle.routing import entry as entry_module
-from chervilspindle.routing import merge
 from chervilspindle.routing import metrics as metrics_module
+from chervilspindle.routing import record_merging
 from chervilspindle.routing import relaying
 from chervilspindle.routing import retry_budget
 from chervilspindle.tools import backends
@@ -57,7 +57,7 @@
         )
         self.context = contexts.build_context(
             loop,
-            contexts.Place(name, zone, 1.0, LINK_MBPS),
+            contexts.VmProfile(name, zone, 1.0, LINK_MBPS),
             platform_names.HEADERS,
             retry_budget.Rule(0.2, 100.0, 10.0),
             self.network,
@@ -124,8 +124,8 @@
         )
         for one in self.entries:
             await one.network.listen(one.address).asFuture(self.loop)
-            one.entry.put_document(document)
-            one.context.relays.table.put_document(document)
+            one.entry.update_document(document)
+            one.context.relays.table.update_document(document)
             one.context.relays.table.put_relays(
                 1, [e.row for e in self.entries]
             )
@@ -162,7 +162,7 @@
         """Open connections; hedges are due after 190 ms from then on."""
         await self.ask("warm")
         await self.ask("warm-2")
-        self.entry.context.pace.usual_ms_by_route["all"] = 1000.0
+        self.entry.context.latency_estimates.part_ms_by_route["all"] = 1000.0
 
     async def ask(self, request_id):
         ask = data_path_test.World.ask
@@ -182,13 +182,13 @@
             self.backend_by_id[name].build_body(request_id.encode())
             for name in named
         ]
-        assert body == merge.merge_top(bodies, 20)
+        assert body == record_merging.merge_top(bodies, 20)
 
 
 @pytest.fixture
 def play():
     def run(test):
-        data_path_test.play_world(World, test, 20)
+        data_path_test.run_in_world(World, test, 20)
 
     return run
 
@@ -297,7 +297,7 @@
     async def test(world):
         await world.warm()
         # Reports are due some time before hedges, which are late then.
-        world.entry.context.pace.usual_ms_by_route["all"] = 100.0
+        world.entry.context.latency_estimates.part_ms_by_route["all"] = 100.0
         for zone in "ab":
             world.backend_by_id[f"shard-00-{zone}"].work_s = 0.15
         world.backend_by_id["shard-03-a"].refusing = True
--- /dev/null
+++ b/chervilspindle/routing/routed_request.py
@@ -0,0 +1,119 @@
+"""Base class of requests to one endpoint and to all shards of a route.
+
+A routed request has timers, sends to endpoints, and ends once: with an
+answer, or because its caller disconnected.
+"""
+
+from chervilspindle.routing import endpoint_calls
+from chervilspindle.routing import request_timing
+
+# Sends beyond `max_attempts`, possible because refused ones don't count.
+MAX_REFUSED_SENDS = 3
+CALLER_LEFT_STATUS = 499  # for logs and metrics only; never sent
+
+
+class RoutedRequest:
+    """One request of a caller; abstract.
+
+    Parameters
+    ----------
+    incoming : endpoint_calls.IncomingRequest
+    context : endpoint_calls.Context
+    on_done : callable
+        ``on_done(incoming, status, fields)``, called once at the end.
+    """
+
+    def __init__(self, incoming, context, on_done):
+        self.incoming = incoming
+        self.context = context
+        self.on_done = on_done
+        self.loop = context.loop
+        route = incoming.route
+        request = incoming.exchange.request
+        self.started_s = request.received_s
+        self.timing = request_timing.plan_timing(
+            route.objective_ms,
+            route.timeout_ms,
+            incoming.caller_ms,
+            request.is_first,
+            context.latency_estimates.part_ms_by_route.get(
+                route.name, request_timing.INITIAL_PART_MS
+            ),
+            context.latency_estimates.lag_ms
+            + context.latency_estimates.estimate_answer_send_ms(route),
+        )
+        self.template = endpoint_calls.build_request_template(
+            incoming, context.names
+        )
+        self.done = False
+        self.timers = []
+
+    def build_log_fields(self) -> dict:
+        """Return the request-specific fields of the log event."""
+        raise NotImplementedError
+
+    def stop_sends(self):
+        """Withdraw what is not sent yet; requests in progress run on."""
+        raise NotImplementedError
+
+    def cancel_sends(self):
+        """Cancel what is in progress."""
+        raise NotImplementedError
+
+    def schedule_at_ms(self, elapsed_ms, callback):
+        """Run `callback` at a time in ms since the request was read."""
+        due_s = self.started_s + elapsed_ms / 1000.0
+        self.timers.append(self.loop.call_at(due_s, callback))
+
+    def read_elapsed_ms(self) -> float:
+        """Return the time in ms since the request was read."""
+        return (self.loop.time() - self.started_s) * 1000.0
+
+    def read_deadline_s(self) -> float:
+        """Return the loop time at which the request times out."""
+        return self.started_s + self.timing.deadline_ms / 1000.0
+
+    def record_part_ms(self, took_ms: float):
+        """Update the smoothed part time of the route."""
+        part_ms_by_route = self.context.latency_estimates.part_ms_by_route
+        name = self.incoming.route.name
+        part_ms_by_route[name] = request_timing.smooth_part_ms(
+            part_ms_by_route.get(name), took_ms
+        )
+
+    def watch_caller(self):
+        """End the request when the caller disconnects."""
+        self.incoming.exchange.on_abandoned = self._on_caller_left
+
+    def refuse(self, reason):
+        """Answer 503: the request has not run and may be retried."""
+        retry_after = b"%.2f" % request_timing.RETRY_AFTER_S
+        self.finish(503, ((b"Retry-After", retry_after),), b"", reason)
+
+    def finish(self, status, headers, body, reason):
+        """Answer the caller and end the request.
+
+        Sends in progress run on.
+        """
+        self._close()
+        self.incoming.exchange.respond(status, headers, body)
+        self.on_done(
+            self.incoming, status, {"why": reason, **self.build_log_fields()}
+        )
+
+    def _on_caller_left(self):
+        if self.done:
+            return
+        self._close()
+        fields = {"why": "caller_left", **self.build_log_fields()}
+        self.on_done(self.incoming, CALLER_LEFT_STATUS, fields)
+        if self.incoming.route.idempotent:
+            self.loop.call_later(
+                endpoint_calls.CALLER_LEFT_CANCEL_DELAY_S, self.cancel_sends
+            )
+
+    def _close(self):
+        self.done = True
+        for timer in self.timers:
+            timer.cancel()
+        self.stop_sends()
