--- a/chervilspindle/routing/contexts.py
+++ b/chervilspindle/routing/contexts.py
@@ -6,8 +6,8 @@
 from chervilspindle.routing import endpoints
 from chervilspindle.routing import forwarding
 from chervilspindle.routing import overload
+from chervilspindle.routing import relay_selection
 from chervilspindle.routing import relaying
-from chervilspindle.routing import relays
 from chervilspindle.routing import retry_budget
 
 
@@ -61,7 +61,7 @@
         generator,
         metrics.count_event,
     )
-    relay_table = relays.RelayTable(
+    relay_table = relay_selection.RelayTable(
         place.vm_id,
         place.zone,
         place.core_share,
--- a/chervilspindle/routing/keeper_test.py
+++ b/chervilspindle/routing/keeper_test.py
@@ -7,7 +7,7 @@
 from chervilspindle.core import timers as timers_module
 from chervilspindle.routing import documents
 from chervilspindle.routing import keeper
-from chervilspindle.routing import relays as relays_module
+from chervilspindle.routing import relay_selection as relays_module
 from chervilspindle.wire import messages
 
 
--- a/chervilspindle/routing/relays_test.py
+++ b/chervilspindle/routing/relay_selection_test.py
@@ -4,7 +4,7 @@
 
 from chervilspindle.routing import documents
 from chervilspindle.routing import parts
-from chervilspindle.routing import relays
+from chervilspindle.routing import relay_selection
 from chervilspindle.wire import messages
 
 SHARDS = tuple(f"shard-{i:02}" for i in range(90))
@@ -19,7 +19,9 @@
 
 def build_table(vm_id="vm-0", zone="a", clock=None, count=102):
     clock = clock or [0.0]
-    table = relays.RelayTable(vm_id, zone, 0.361, 13.5, lambda: clock[0])
+    table = relay_selection.RelayTable(
+        vm_id, zone, 0.361, 13.5, lambda: clock[0]
+    )
     route = documents.Route(
         "r", "h", "/", True, 600.0, 47.0, 1, 2, (), SHARDS, 5, 0.85
     )
@@ -30,18 +32,23 @@
 
 
 def rank(table, group):
-    return relays.rank_relays(table.relays, "a", group, table.queries_per_s)
+    return relay_selection.rank_relays(
+        table.relays, "a", group, table.queries_per_s
+    )
 
 
 def test_a_wide_query_on_a_part_of_a_core_is_divided():
-    groups = relays.count_groups(90, 47.0, 0.361, 13.5)
+    groups = relay_selection.count_groups(90, 47.0, 0.361, 13.5)
     assert 4 <= groups <= 11
-    assert sum(len(g.services) for g in relays.divide(SHARDS, groups)) == 90
+    assert (
+        sum(len(g.services) for g in relay_selection.divide(SHARDS, groups))
+        == 90
+    )
 
 
 def test_a_query_that_takes_little_by_itself_is_not_divided():
-    assert relays.count_groups(20, 44.0, 0.731, 350.0) == 1
-    assert relays.count_groups(90, 0.0, 0.361, 13.5) == 1
+    assert relay_selection.count_groups(20, 44.0, 0.731, 350.0) == 1
+    assert relay_selection.count_groups(90, 0.0, 0.361, 13.5) == 1
 
 
 def test_groups_share_the_relays_of_a_zone():
@@ -50,17 +57,20 @@
     counts = collections.Counter()
     for group in table.get_groups(SHARDS):
         ranked = rank(table, group)
-        assert len(ranked) >= relays.LEAST_RELAYS
+        assert len(ranked) >= relay_selection.LEAST_RELAYS
         counts.update(r.vm_id for r in ranked)
     assert len(counts) > 12 and max(counts.values()) <= 4
 
 
 def test_few_queries_go_to_few_relays_and_many_to_all():
     counts = [
-        relays.count_relays(34, 7, rate) for rate in (0.0, 7.0, 30.0, 1e6)
+        relay_selection.count_relays(34, 7, rate)
+        for rate in (0.0, 7.0, 30.0, 1e6)
     ]
     assert counts == [2, 2, 4, 5]
-    assert relays.count_relays(1, 7, 7.0) == relays.LEAST_RELAYS
+    assert (
+        relay_selection.count_relays(1, 7, 7.0) == relay_selection.LEAST_RELAYS
+    )
 
 
 def test_relays_stay_the_same_while_the_rate_varies_a_little():
@@ -84,9 +94,9 @@
 def test_a_relay_that_leaves_moves_few_others():
     table = build_table()
     for group in table.get_groups(SHARDS):
-        before = relays.rank_relays(table.relays, "a", group, 200.0)
+        before = relay_selection.rank_relays(table.relays, "a", group, 200.0)
         fewer = [r for r in table.relays if r != before[0]]
-        after = relays.rank_relays(fewer, "a", group, 200.0)
+        after = relay_selection.rank_relays(fewer, "a", group, 200.0)
         assert len(set(after) - set(before)) <= 1
 
 
@@ -97,7 +107,7 @@
         table = build_table(f"vm-{number}")
         picked[table.pick(group).vm_id] += 1
         assert table.pick(group) == table.pick(group)
-    assert len(picked) >= relays.LEAST_RELAYS
+    assert len(picked) >= relay_selection.LEAST_RELAYS
 
 
 def test_a_silent_relay_is_avoided_until_it_reports():
@@ -108,7 +118,7 @@
     table.note_silence(first.address, "no report")
     second = table.pick(group)
     assert second != first
-    clock[0] += relays.FAILURE_MEMORY_S + 0.1
+    clock[0] += relay_selection.FAILURE_MEMORY_S + 0.1
     assert table.pick(group) == first
     table.note_silence(first.address, "no report")
     table.note_report(first.address)
