--- a/chervilspindle/routing/contexts.py
+++ b/chervilspindle/routing/contexts.py
@@ -7,7 +7,7 @@
 from chervilspindle.routing import forwarding
 from chervilspindle.routing import overload
 from chervilspindle.routing import relay_selection
-from chervilspindle.routing import relaying
+from chervilspindle.routing import relayed_query
 from chervilspindle.routing import retry_budget
 
 
@@ -76,6 +76,6 @@
         forwarding.Pace(place.core_share, place.link_mbps),
         metrics,
         generator,
-        relaying.RelayClient(network, relay_table),
+        relayed_query.RelayClient(network, relay_table),
         overload.Shedder(generator),
     )
--- a/chervilspindle/routing/process.py
+++ b/chervilspindle/routing/process.py
@@ -26,7 +26,7 @@
 from chervilspindle.routing import forwarding
 from chervilspindle.routing import keeper as keeper_module
 from chervilspindle.routing import metrics as metrics_module
-from chervilspindle.routing import relaying
+from chervilspindle.routing import relayed_query
 from chervilspindle.routing import retry_budget
 from chervilspindle.wire import http_server
 from chervilspindle.wire import messages
@@ -212,7 +212,7 @@
             f"{settings.vm_id} {os.getpid()}",
         )
         self.context = context
-        self.relay = relaying.Relay(context)
+        self.relay = relayed_query.Relay(context)
         self.entry = entry_module.RoutingEntry(context)
         self.keeper = keeper_module.ConnectionKeeper(
             self.entry, self.timers, settings.vm_id, settings.core_share
@@ -237,7 +237,7 @@
         if isinstance(message, messages.RelayReport):
             client = self.context.relays
             client.take_report(link.dialled_address, message)
-        elif isinstance(message, relaying.FOR_RELAYS):
+        elif isinstance(message, relayed_query.FOR_RELAYS):
             self.relay.handle(link, message)
         else:
             super().handle(link, message)
--- a/chervilspindle/routing/relaying_test.py
+++ b/chervilspindle/routing/relayed_query_test.py
@@ -14,7 +14,7 @@
 from chervilspindle.routing import entry as entry_module
 from chervilspindle.routing import merge
 from chervilspindle.routing import metrics as metrics_module
-from chervilspindle.routing import relaying
+from chervilspindle.routing import relayed_query
 from chervilspindle.routing import retry_budget
 from chervilspindle.tools import backends
 from chervilspindle.wire import http_server
@@ -67,7 +67,7 @@
         self.context.budget.vms = 1
         self.row = messages.Relay(name, zone, self.address)
         self.entry = entry_module.RoutingEntry(self.context)
-        self.relay = relaying.Relay(self.context)
+        self.relay = relayed_query.Relay(self.context)
 
     def handle(self, link, message):
         if isinstance(message, messages.RelayReport):
