--- a/chervilspindle/routing/keeper_test.py
+++ b/chervilspindle/routing/connection_prewarmer_test.py
@@ -5,8 +5,8 @@
 from twisted.internet import task
 
 from chervilspindle.core import timers as timers_module
+from chervilspindle.routing import connection_prewarmer
 from chervilspindle.routing import documents
-from chervilspindle.routing import keeper
 from chervilspindle.routing import relay_selection as relays_module
 from chervilspindle.wire import messages
 
@@ -107,7 +107,7 @@
         ),
     )
     timers = timers_module.TimerService(clock)
-    keeper.ConnectionKeeper(entry, timers, "vm-1", core_share)
+    connection_prewarmer.ConnectionKeeper(entry, timers, "vm-1", core_share)
     return clock, targets
 
 
@@ -122,20 +122,22 @@
 
 def test_a_wide_query_on_a_part_of_a_core_finds_its_connections_open():
     clock, targets = build(shards=90, core_share=0.361)
-    clock.pump([keeper.TICK_S] * 12)
+    clock.pump([connection_prewarmer.TICK_S] * 12)
     assert list_opened(targets, True) == [1] * 90
     assert list_opened(targets, False) == [0] * 90
 
 
 def test_opening_is_spread_over_time():
     clock, targets = build(shards=90, core_share=0.361)
-    clock.advance(keeper.TICK_S)
-    assert sum(list_opened(targets, True)) == keeper.OPENED_A_TICK
+    clock.advance(connection_prewarmer.TICK_S)
+    assert (
+        sum(list_opened(targets, True)) == connection_prewarmer.OPENED_A_TICK
+    )
 
 
 def test_a_narrow_query_on_most_of_a_core_opens_none():
     clock, targets = build(shards=20, core_share=0.731)
-    clock.pump([keeper.TICK_S] * 12)
+    clock.pump([connection_prewarmer.TICK_S] * 12)
     assert sum(list_opened(targets, True)) == 0
 
 
@@ -151,16 +153,16 @@
 
 def test_scarce_connections_are_closed_soon_but_at_home():
     _, targets = clock_targets = build(90, 0.361, connections=86, vms=102)
-    clock_targets[0].advance(keeper.TICK_S)
+    clock_targets[0].advance(connection_prewarmer.TICK_S)
     homes = [t.pool for d in targets.values() for t in d.values()]
     closed = [p for p in homes if p.closed_s]
     assert len(closed) == 90
-    assert all(p.keep_s == keeper.SPARE_S for p in closed)
+    assert all(p.keep_s == connection_prewarmer.SPARE_S for p in closed)
 
 
 def test_connections_that_are_plenty_stay():
     clock, targets = build(90, 0.361, connections=300, vms=102)
-    clock.advance(keeper.TICK_S)
+    clock.advance(connection_prewarmer.TICK_S)
     pools = [t.pool for d in targets.values() for t in d.values()]
     assert not any(p.closed_s for p in pools)
 
@@ -171,7 +173,7 @@
     ]
     table = relays_module.RelayTable("vm-1", "a", 0.361, 13.5, lambda: 0.0)
     clock, targets = build(90, 0.361, link_mbps=13.5, relays=entries)
-    clock.pump([keeper.TICK_S] * 12)
+    clock.pump([connection_prewarmer.TICK_S] * 12)
     opened = {
         name
         for name, by_id in targets.items()
--- a/chervilspindle/routing/process.py
+++ b/chervilspindle/routing/process.py
@@ -20,11 +20,11 @@
 from chervilspindle.core import logs
 from chervilspindle.core import loops
 from chervilspindle.core import timers as timers_module
+from chervilspindle.routing import connection_prewarmer as keeper_module
 from chervilspindle.routing import contexts
 from chervilspindle.routing import entry as entry_module
 from chervilspindle.routing import follower as follower_module
 from chervilspindle.routing import forwarding
-from chervilspindle.routing import keeper as keeper_module
 from chervilspindle.routing import metrics as metrics_module
 from chervilspindle.routing import relayed_query
 from chervilspindle.routing import retry_budget
