--- a/chervilspindle/routing/process.py
+++ b/chervilspindle/routing/process.py
@@ -23,11 +23,11 @@
 from chervilspindle.routing import connection_prewarmer as keeper_module
 from chervilspindle.routing import contexts
 from chervilspindle.routing import entry as entry_module
-from chervilspindle.routing import follower as follower_module
 from chervilspindle.routing import forwarding
 from chervilspindle.routing import metrics as metrics_module
 from chervilspindle.routing import relayed_query
 from chervilspindle.routing import retry_budget
+from chervilspindle.routing import watch_client as follower_module
 from chervilspindle.wire import http_server
 from chervilspindle.wire import messages
 from chervilspindle.wire import peer
--- a/chervilspindle/routing/follower_test.py
+++ b/chervilspindle/routing/watch_client_test.py
@@ -9,7 +9,7 @@
 from chervilspindle.core import errors
 from chervilspindle.core import rows
 from chervilspindle.core import timers as timers_module
-from chervilspindle.routing import follower as follower_module
+from chervilspindle.routing import watch_client as follower_module
 from chervilspindle.wire import messages
 from chervilspindle.wire import streams
 
