--- a/chervilspindle/routing/fanout.py
+++ b/chervilspindle/routing/fanout.py
@@ -170,7 +170,7 @@
 
     # What sends tell their listener.
 
-    def note_endpoint(self, sent, service, endpoint_id):
+    def on_endpoint_chosen(self, sent, service, endpoint_id):
         """Take in which endpoint got a shard."""
         self.shard_by_service[service].tried.append(endpoint_id)
 
--- a/chervilspindle/routing/parts_query.py
+++ b/chervilspindle/routing/parts_query.py
@@ -59,7 +59,7 @@
             )
             call.context = (service, target)
             self.call_by_service[service] = call
-            self.listener.note_endpoint(self, service, endpoint_id)
+            self.listener.on_endpoint_chosen(self, service, endpoint_id)
             target.pool.submit(call)
 
     def is_silent(self) -> bool:
--- a/chervilspindle/routing/relayed_query.py
+++ b/chervilspindle/routing/relayed_query.py
@@ -60,7 +60,7 @@
         self.reported = True
         self.presumed_lost = False
         for service, endpoint_id in report.sent:
-            self.listener.note_endpoint(self, service, endpoint_id)
+            self.listener.on_endpoint_chosen(self, service, endpoint_id)
         for found in report.parts:
             self.open_services.difference_update(found.services)
             self.listener.take_part_set(self, found, report.usual_ms)
@@ -234,7 +234,7 @@
 
     # What a parts query tells its listener.
 
-    def note_endpoint(self, query, service, endpoint_id):
+    def on_endpoint_chosen(self, query, service, endpoint_id):
         self.endpoint_by_service[service] = endpoint_id
 
     def take_part(self, query, service, stamp, body, took_ms):
