--- a/chervilspindle/routing/fanout.py
+++ b/chervilspindle/routing/fanout.py
@@ -174,7 +174,7 @@
         """Take in which endpoint got a shard."""
         self.shard_by_service[service].tried.append(endpoint_id)
 
-    def take_part(self, sent, service, stamp, body, took_ms):
+    def on_part(self, sent, service, stamp, body, took_ms):
         """Take in a part that this process got."""
         self.shard_by_service[service].open_sends.remove(sent)
         self.ran = True
--- a/chervilspindle/routing/parts_query.py
+++ b/chervilspindle/routing/parts_query.py
@@ -93,7 +93,7 @@
         if verdict.good:
             took_ms = (context.loop.time() - call.sent_s) * 1000.0
             stamp = answer.get_header(context.names.lower.stamp)
-            self.listener.take_part(self, service, stamp, answer.body, took_ms)
+            self.listener.on_part(self, service, stamp, answer.body, took_ms)
             return
         context.metrics.count_failure(verdict.reason)
         endpoint_id = target.endpoint.endpoint_id
--- a/chervilspindle/routing/relayed_query.py
+++ b/chervilspindle/routing/relayed_query.py
@@ -237,7 +237,7 @@
     def on_endpoint_chosen(self, query, service, endpoint_id):
         self.endpoint_by_service[service] = endpoint_id
 
-    def take_part(self, query, service, stamp, body, took_ms):
+    def on_part(self, query, service, stamp, body, took_ms):
         self.parts.append(messages.PartSet((service,), stamp, body))
         self.took_ms.append(took_ms)
         self._settle(service)
