--- a/chervilspindle/routing/fanout.py
+++ b/chervilspindle/routing/fanout.py
@@ -191,7 +191,7 @@
             self.note_usual(usual_ms)
             self._add(part_set)
 
-    def lose_part(self, sent, loss):
+    def on_part_lost(self, sent, loss):
         """Take in that this process got no part."""
         self.lose_parts(sent, (loss,))
 
--- a/chervilspindle/routing/parts_query.py
+++ b/chervilspindle/routing/parts_query.py
@@ -46,7 +46,7 @@
             target = table.choose(service, tried_by_service.get(service, ()))
             if target is None:
                 loss = messages.Loss(service, "", "no_endpoint", False)
-                self.listener.lose_part(self, loss)
+                self.listener.on_part_lost(self, loss)
                 continue
             endpoint_id = target.endpoint.endpoint_id
             call = forwarding.build_call(
@@ -98,4 +98,4 @@
         context.metrics.count_failure(verdict.reason)
         endpoint_id = target.endpoint.endpoint_id
         loss = messages.Loss(service, endpoint_id, verdict.reason, verdict.ran)
-        self.listener.lose_part(self, loss)
+        self.listener.on_part_lost(self, loss)
--- a/chervilspindle/routing/relayed_query.py
+++ b/chervilspindle/routing/relayed_query.py
@@ -242,7 +242,7 @@
         self.took_ms.append(took_ms)
         self._settle(service)
 
-    def lose_part(self, query, loss):
+    def on_part_lost(self, query, loss):
         self.losses.append(loss)
         self._settle(loss.service)
 
