--- a/chervilspindle/routing/fanout.py
+++ b/chervilspindle/routing/fanout.py
@@ -182,7 +182,7 @@
             self.note_usual(took_ms)
             self._add(messages.PartSet((service,), stamp, body))
 
-    def take_part_set(self, sent, part_set, usual_ms):
+    def on_part_set(self, sent, part_set, usual_ms):
         """Take in parts that a relay reported."""
         for service in part_set.services:
             self.shard_by_service[service].open_sends.remove(sent)
--- a/chervilspindle/routing/relayed_query.py
+++ b/chervilspindle/routing/relayed_query.py
@@ -63,7 +63,7 @@
             self.listener.on_endpoint_chosen(self, service, endpoint_id)
         for found in report.parts:
             self.open_services.difference_update(found.services)
-            self.listener.take_part_set(self, found, report.usual_ms)
+            self.listener.on_part_set(self, found, report.usual_ms)
         self.open_services.difference_update(
             loss.service for loss in report.losses
         )
