--- a/chervilspindle/routing/fanout.py
+++ b/chervilspindle/routing/fanout.py
@@ -193,9 +193,9 @@
 
     def on_part_lost(self, sent, loss):
         """Take in that this process got no part."""
-        self.lose_parts(sent, (loss,))
+        self.on_parts_lost(sent, (loss,))
 
-    def lose_parts(self, sent, losses):
+    def on_parts_lost(self, sent, losses):
         """Take in that shards got no part; send them again."""
         again = []
         for loss in losses:
--- a/chervilspindle/routing/relayed_query.py
+++ b/chervilspindle/routing/relayed_query.py
@@ -68,7 +68,7 @@
             loss.service for loss in report.losses
         )
         if report.losses:
-            self.listener.lose_parts(self, report.losses)
+            self.listener.on_parts_lost(self, report.losses)
         if not self.open_services:
             self.client.forget(self)
 
@@ -79,7 +79,7 @@
             for service in sorted(self.open_services)
         ]
         self.open_services.clear()
-        self.listener.lose_parts(self, losses)
+        self.listener.on_parts_lost(self, losses)
 
 
 class RelayClient:
