--- a/chervilspindle/routing/data_path_test.py
+++ b/chervilspindle/routing/data_path_test.py
@@ -636,8 +636,8 @@
 
 def test_a_service_that_nobody_announced_has_no_place(play):
     async def test(world):
-        assert world.table.has_place("desk", ())
-        assert not world.table.has_place("desk", ("desk-a", "desk-b"))
-        assert not world.table.has_place("unheard-of", ())
+        assert world.table.has_free_slot("desk", ())
+        assert not world.table.has_free_slot("desk", ("desk-a", "desk-b"))
+        assert not world.table.has_free_slot("unheard-of", ())
 
     play(test)
--- a/chervilspindle/routing/endpoints.py
+++ b/chervilspindle/routing/endpoints.py
@@ -109,12 +109,12 @@
         targets = self.targets_by_service.get(service, {})
         return [t.health for t in targets.values()]
 
-    def has_place(self, service: str, excluded) -> bool:
+    def has_free_slot(self, service: str, excluded) -> bool:
         """Tell whether another endpoint would start a request at once."""
         now = self.loop.time()
         targets = self.targets_by_service.get(service, {})
         return any(
-            overload.has_place(target.health, now)
+            overload.has_free_slot(target.health, now)
             for endpoint_id, target in targets.items()
             if endpoint_id not in excluded
         )
--- a/chervilspindle/routing/fanout.py
+++ b/chervilspindle/routing/fanout.py
@@ -295,7 +295,7 @@
                     waits = True
                     continue
                 self._presume_lost(sent)
-            if table.has_place(shard.service, shard.tried):
+            if table.has_free_slot(shard.service, shard.tried):
                 late_shards.append(shard)
         hedged = self._send_again(late_shards, "hedge")
         self.hedges += len(hedged)
--- a/chervilspindle/routing/overload.py
+++ b/chervilspindle/routing/overload.py
@@ -53,7 +53,7 @@
     return total / shards if shards else 0.0
 
 
-def has_place(health: selection.Health, now: float) -> bool:
+def has_free_slot(health: selection.Health, now: float) -> bool:
     """Tell whether an endpoint would start a request at once."""
     load = selection.read_load(health, now, OCCUPANCY_MEMORY_S)
     return load < health.slots
--- a/chervilspindle/routing/overload_test.py
+++ b/chervilspindle/routing/overload_test.py
@@ -73,13 +73,13 @@
 
 
 def test_an_endpoint_with_a_queue_has_no_place():
-    assert overload.has_place(build_health(1.0), 0.0)
-    assert not overload.has_place(build_health(2.0), 0.0)
+    assert overload.has_free_slot(build_health(1.0), 0.0)
+    assert not overload.has_free_slot(build_health(2.0), 0.0)
 
 
 def test_a_queue_of_long_ago_is_forgotten():
     health = build_health(2.0)
-    assert overload.has_place(health, 0.5 * overload.OCCUPANCY_MEMORY_S)
+    assert overload.has_free_slot(health, 0.5 * overload.OCCUPANCY_MEMORY_S)
 
 
 class Crowd:
