--- a/chervilspindle/routing/fanout.py
+++ b/chervilspindle/routing/fanout.py
@@ -308,7 +308,7 @@
         if not sent.presumed_lost:
             sent.presumed_lost = True
             table = self.context.relays.table
-            table.note_silence(sent.address, "no report")
+            table.record_relay_failure(sent.address, "no report")
 
     def _reserve_send(self, shard) -> bool:
         """Take room for one more send, if rules and budget allow it."""
--- a/chervilspindle/routing/relay_selection.py
+++ b/chervilspindle/routing/relay_selection.py
@@ -219,7 +219,7 @@
                     services.update(group.services)
         return services
 
-    def note_silence(self, address: str, reason: str):
+    def record_relay_failure(self, address: str, reason: str):
         """Avoid a relay for a while."""
         known = address in self.failed_s_by_address
         self.failed_s_by_address[address] = self.read_clock()
--- a/chervilspindle/routing/relay_selection_test.py
+++ b/chervilspindle/routing/relay_selection_test.py
@@ -115,12 +115,12 @@
     table = build_table(clock=clock)
     group = table.get_groups(SHARDS)[0]
     first = table.pick(group)
-    table.note_silence(first.address, "no report")
+    table.record_relay_failure(first.address, "no report")
     second = table.pick(group)
     assert second != first
     clock[0] += relay_selection.FAILURE_MEMORY_S + 0.1
     assert table.pick(group) == first
-    table.note_silence(first.address, "no report")
+    table.record_relay_failure(first.address, "no report")
     table.note_report(first.address)
     assert table.pick(group) == first
 
@@ -131,7 +131,7 @@
     group = table.get_groups(SHARDS)[0]
     for relay in rank(table, group):
         assert table.pick(group).zone == "a"
-        table.note_silence(relay.address, "no report")
+        table.record_relay_failure(relay.address, "no report")
     assert table.pick(group).zone != "a"
 
 
@@ -143,7 +143,7 @@
     silent = []
     for _ in rank(table, group):
         silent.append(table.pick(group))
-        table.note_silence(silent[-1].address, "no report")
+        table.record_relay_failure(silent[-1].address, "no report")
         clock[0] += 0.1
     assert table.pick(group) == silent[0]
 
--- a/chervilspindle/routing/relayed_query.py
+++ b/chervilspindle/routing/relayed_query.py
@@ -146,7 +146,7 @@
     def _lose_link(self, address):
         lost = [s for s in self.sent_by_id.values() if s.address == address]
         if lost:
-            self.table.note_silence(address, "link lost")
+            self.table.record_relay_failure(address, "link lost")
         for sent in lost:
             self.forget(sent)
         for sent in lost:
