--- a/chervilspindle/routing/fanout.py
+++ b/chervilspindle/routing/fanout.py
@@ -362,9 +362,9 @@
         table = self.context.relays.table
         tried = shard.relays_tried
         if shard.tried:
-            return table.pick_far(shard.group, tried)
+            return table.pick_from_other_zone(shard.group, tried)
         near = table.pick(shard.group, tried)
-        return near or table.pick_far(shard.group, tried)
+        return near or table.pick_from_other_zone(shard.group, tried)
 
     def _note_again(self, shards, cause):
         elapsed = round(self.read_elapsed_ms(), 1)
--- a/chervilspindle/routing/relay_selection.py
+++ b/chervilspindle/routing/relay_selection.py
@@ -196,10 +196,12 @@
         near = self._pick(group, self.zone, tried)
         if near is None or self._is_fit(near):
             return near
-        far = self.pick_far(group, tried)
+        far = self.pick_from_other_zone(group, tried)
         return far if far is not None and self._is_fit(far) else near
 
-    def pick_far(self, group: Group, tried=()) -> messages.Relay | None:
+    def pick_from_other_zone(
+        self, group: Group, tried=()
+    ) -> messages.Relay | None:
         """Return a relay of another zone, where other replicas are near."""
         zones = {r.zone for r in self.relays} - {self.zone}
         found = [self._pick(group, zone, tried) for zone in sorted(zones)]
--- a/chervilspindle/routing/relay_selection_test.py
+++ b/chervilspindle/routing/relay_selection_test.py
@@ -151,9 +151,11 @@
 def test_a_far_relay_is_of_another_zone_and_none_is_its_own():
     table = build_table()
     group = table.get_groups(SHARDS)[0]
-    assert table.pick_far(group).zone != "a"
+    assert table.pick_from_other_zone(group).zone != "a"
     alone = build_table(count=1)
-    assert alone.pick(group) is None and alone.pick_far(group) is None
+    assert (
+        alone.pick(group) is None and alone.pick_from_other_zone(group) is None
+    )
 
 
 def part_set(*services):
