--- a/chervilspindle/routing/connection_prewarmer.py
+++ b/chervilspindle/routing/connection_prewarmer.py
@@ -77,7 +77,7 @@
 
     def _plan(self, document, table, relays):
         """Find the endpoints whose connections are kept."""
-        services = relays.list_own_services()
+        services = relays.list_relayed_services()
         for route in document.routes:
             if relays.get_groups(route.shards):
                 continue
--- a/chervilspindle/routing/connection_prewarmer_test.py
+++ b/chervilspindle/routing/connection_prewarmer_test.py
@@ -99,7 +99,7 @@
     )
     if relays:
         relay_table.put_document(document)
-        relay_table.put_relays(1, relays)
+        relay_table.set_relays(1, relays)
     entry = Fake(
         document,
         context=Fake(
@@ -184,7 +184,7 @@
 
 
 def find_own(table, services, entries):
-    groups = relays_module.divide(
+    groups = relays_module.divide_shards(
         sorted(services),
         relays_module.count_groups(90, 47.0, 0.361, 13.5),
     )
--- a/chervilspindle/routing/process.py
+++ b/chervilspindle/routing/process.py
@@ -227,7 +227,7 @@
             self._take_delta,
             self._take_count,
             self.context.budget.read_requests,
-            context.relays.table.put_relays,
+            context.relays.table.set_relays,
         )
         self.front = None
         self.stopped_at = None
@@ -323,7 +323,7 @@
         known_vms = budget.vms
         budget.note_total(vms, requests)
         rate = requests / budget.rule.window_s if vms else None
-        self.context.relays.table.put_rate(rate)
+        self.context.relays.table.set_query_rate(rate)
         if vms != known_vms:
             self._share_connections()
 
--- a/chervilspindle/routing/relay_selection.py
+++ b/chervilspindle/routing/relay_selection.py
@@ -1,10 +1,12 @@
-"""Which entries gather shards for others, and for which of them.
-
-A query over many shards takes a VM with a part of a core and a slow link a
-large part of its objective. Its shards are then divided into groups, and
-each group goes through an entry of the same zone that gathers for it. A
-group has few such entries, so their connections to its endpoints stay in
-use while each entry by itself has a query every few seconds only.
+"""Selection of the relays through which a query with many shards is sent.
+
+On a VM with a fraction of a core and a slow link, sending a query to many
+shards directly takes a large part of its latency objective. The shards are
+then divided into groups, and each group is sent through a relay: another
+entry, normally in the same zone, that queries the shards and merges their
+results. Each group has few relays, so that a relay's connections to the
+group's endpoints stay in use although any one entry receives a query only
+every few seconds.
 """
 
 import math
@@ -14,115 +16,125 @@
 from chervilspindle.core import logs
 from chervilspindle.wire import messages
 
-SHARD_CORE_MS = 0.05  # processor time of one shard, on a whole core
-SHARD_BYTES = 400  # a part with its headers
-ALONE_SHARE = 0.1  # of the objective that a group may take its relay
-LEAST_GROUP = 8  # shards; smaller groups cost more messages than they save
-LEAST_RELAYS = 2  # of a group in a zone, so that one may be lost
-# Queries of a zone for each relay of a group: with fewer, a relay would see
-# its endpoints too seldom to know which are slow; with many more, it is busy.
-QUERIES_PER_RELAY_S = 10.0
-FAILURE_MEMORY_S = 8.0  # longer than an entry waits for its next query
+SHARD_CORE_MS = 0.05  # CPU time per shard, on a whole core
+SHARD_BYTES = 400  # one shard's response with its headers
+MAX_GROUP_TIME_SHARE = 0.1  # of the objective, spent by a relay on a group
+MIN_GROUP_SHARDS = 8  # smaller groups cost more messages than they save
+MIN_RELAYS = 2  # per group and zone, to tolerate the loss of one
+# Query rate of a zone per relay of a group. With a lower one a relay would
+# have too few samples of its endpoints to tell which are slow; with a much
+# higher one it would be overloaded.
+QUERIES_PER_S_PER_RELAY = 10.0
+FAILURE_BACKOFF_S = 8.0  # longer than the time between an entry's queries
 
 
-class Group(typing.NamedTuple):
-    """Shards that are gathered together.
+class ShardGroup(typing.NamedTuple):
+    """Shards of a query that are sent through one relay.
 
     Parameters
     ----------
     services : tuple of str
-    spread : int
-        Number of groups of the same query.
+        One service per shard.
+    group_count : int
+        Number of groups that the query is divided into.
     """
 
     services: tuple[str, ...]
-    spread: int
+    group_count: int
 
 
 def count_groups(
     shards: int, objective_ms: float, core_share: float, link_mbps: float
 ) -> int:
-    """Return into how many groups the shards of a query are divided.
+    """Return the number of groups that the shards of a query form.
 
     Parameters
     ----------
     shards : int
     objective_ms : float
-        Of the most urgent route; 0 if none has one.
+        Shortest latency objective of the routes over these shards; 0 if
+        none has one.
     core_share : float
-        Part of a core that an entry has.
+        Share of a CPU core that an entry may use.
     link_mbps : float
         Bandwidth of an entry's link, in Mbit/s.
 
     Returns
     -------
     int
-        1 where an entry sends to all endpoints itself.
+        1 if the entry sends to all shards directly.
     """
     if not objective_ms:
         return 1
     link_ms = SHARD_BYTES * 8 / (link_mbps * 1000.0)
-    alone_ms = shards * (SHARD_CORE_MS / core_share + link_ms)
-    wanted = math.ceil(alone_ms / (ALONE_SHARE * objective_ms))
-    return max(1, min(wanted, shards // LEAST_GROUP))
+    direct_ms = shards * (SHARD_CORE_MS / core_share + link_ms)
+    needed = math.ceil(direct_ms / (MAX_GROUP_TIME_SHARE * objective_ms))
+    return max(1, min(needed, shards // MIN_GROUP_SHARDS))
 
 
-def divide(services, groups: int) -> tuple[Group, ...]:
-    """Divide shards into groups of nearly the same size."""
+def divide_shards(services, groups: int) -> tuple[ShardGroup, ...]:
+    """Divide shards into groups whose sizes differ by at most one."""
     count = len(services)
     edges = [count * i // groups for i in range(groups + 1)]
     return tuple(
-        Group(tuple(services[start:end]), groups)
+        ShardGroup(tuple(services[start:end]), groups)
         for start, end in zip(edges, edges[1:])
     )
 
 
-def count_relays(near: int, spread: int, queries_per_s: float) -> int:
-    """Return how many relays a group has in a zone.
+def count_relays(
+    available: int, group_count: int, queries_per_s: float
+) -> int:
+    """Return the number of relays of a group in a zone.
 
     Parameters
     ----------
-    near : int
-        Entries of the zone.
-    spread : int
-        Groups that divide them.
+    available : int
+        Relays in the zone.
+    group_count : int
+        Number of groups that share them.
     queries_per_s : float
-        Of the zone.
+        Query rate of the zone.
     """
-    wanted = count_wanted(queries_per_s)
-    return max(LEAST_RELAYS, min(wanted, math.ceil(near / spread)))
+    needed = count_relays_for_rate(queries_per_s)
+    return max(MIN_RELAYS, min(needed, math.ceil(available / group_count)))
 
 
-def count_wanted(queries_per_s: float) -> int:
-    """Return how many relays the queries of a zone need for each group.
+def count_relays_for_rate(queries_per_s: float) -> int:
+    """Return the number of relays per group that a zone's rate requires.
 
-    Doubling steps keep the relays the same while the rate varies.
+    The number grows in powers of two, so that small changes of the rate do
+    not change the set of relays.
     """
-    wanted = LEAST_RELAYS
-    while wanted * QUERIES_PER_RELAY_S < queries_per_s:
-        wanted *= 2
-    return wanted
+    needed = MIN_RELAYS
+    while needed * QUERIES_PER_S_PER_RELAY < queries_per_s:
+        needed *= 2
+    return needed
 
 
 def rank_relays(
-    relays, zone: str, group: Group, queries_per_s: float
+    relays, zone: str, group: ShardGroup, queries_per_s: float
 ) -> list[messages.Relay]:
     """Return the relays of a group in a zone, by rendezvous hashing."""
-    near = [r for r in relays if r.zone == zone]
-    near.sort(key=lambda r: _hash(group.services[0], r.vm_id))
-    return near[: count_relays(len(near), group.spread, queries_per_s)]
+    ranked = [r for r in relays if r.zone == zone]
+    ranked.sort(key=lambda r: _hash(group.services[0], r.vm_id))
+    count = count_relays(len(ranked), group.group_count, queries_per_s)
+    return ranked[:count]
 
 
 class RelayTable:
-    """The relays that an entry knows, and how they answered it.
+    """The relays known to an entry, with their recent failures.
 
     Parameters
     ----------
     vm_id, zone : str
+        Of this entry.
     core_share : float
+        Share of a CPU core that this entry may use.
     link_mbps : float
+        Bandwidth of this entry's link, in Mbit/s.
     read_clock : callable
-        Seconds.
+        Returns the current time in seconds.
     """
 
     def __init__(self, vm_id, zone, core_share, link_mbps, read_clock):
@@ -131,31 +143,39 @@
         self.core_share = core_share
         self.link_mbps = link_mbps
         self.read_clock = read_clock
-        self.revision = 0  # grows when other relays may gather for a group
+        self.revision = 0  # incremented when the relays of a group may change
         self.relays = ()
         self.groups_by_shards = {}
         self.ranked_by_group = {}
         self.failed_s_by_address = {}
         self.queries_per_s = 0.0
 
-    def put_relays(self, mark: int, relays):
-        """Take over the relays that control knows."""
+    def set_relays(self, fingerprint: int, relays):
+        """Replace the list of relays by the one that control sent.
+
+        Parameters
+        ----------
+        fingerprint : int
+            Identifies the content of the list.
+        relays : sequence of messages.Relay
+        """
         self.relays = tuple(relays)
         self.ranked_by_group = {}
         self.revision += 1
-        logs.log_decision("relays-known", mark=mark, relays=len(relays))
+        logs.log_decision("relays-known", mark=fingerprint, relays=len(relays))
 
-    def put_rate(self, queries_per_s: float | None):
-        """Take over how many queries a second the whole system has.
+    def set_query_rate(self, queries_per_s: float | None):
+        """Set the query rate of the whole system.
 
-        While control can't tell (None), as many are expected as before.
+        None means that control does not know the rate; the previous one is
+        kept.
         """
         if queries_per_s is None:
             return
         zones = max(1, len({r.zone for r in self.relays}))
-        before = count_wanted(self.queries_per_s)
+        before = count_relays_for_rate(self.queries_per_s)
         self.queries_per_s = queries_per_s / zones
-        if count_wanted(self.queries_per_s) != before:
+        if count_relays_for_rate(self.queries_per_s) != before:
             self.ranked_by_group = {}
             self.revision += 1
 
@@ -164,9 +184,9 @@
         objective_by_shards = {}
         for route in document.routes:
             if route.shards:
-                known = objective_by_shards.get(route.shards, math.inf)
+                previous = objective_by_shards.get(route.shards, math.inf)
                 objective = route.objective_ms or math.inf
-                objective_by_shards[route.shards] = min(known, objective)
+                objective_by_shards[route.shards] = min(previous, objective)
         self.groups_by_shards = {}
         for shards, objective in objective_by_shards.items():
             count = count_groups(
@@ -176,43 +196,58 @@
                 self.link_mbps,
             )
             if count > 1:
-                # Routes may name the same shards in another order.
-                groups = divide(sorted(shards), count)
+                # Routes that list the same shards in another order get the
+                # same groups.
+                groups = divide_shards(sorted(shards), count)
                 self.groups_by_shards[shards] = groups
         self.ranked_by_group = {}
         self.revision += 1
 
-    def get_groups(self, shards) -> tuple[Group, ...]:
-        """Return the groups of a query, none if it is sent directly."""
+    def get_groups(self, shards) -> tuple[ShardGroup, ...]:
+        """Return the groups of a query, empty if it is sent directly."""
         return self.groups_by_shards.get(shards, ())
 
-    def pick(self, group: Group, tried=()) -> messages.Relay | None:
-        """Return a relay in this zone for a group, None without one.
+    def pick(self, group: ShardGroup, tried=()) -> messages.Relay | None:
+        """Return a relay for a group, preferably in this zone.
 
-        An entry keeps to the same relay, whose pace it knows, until that
-        one fails. If all relays of the zone have failed lately, the relay is
-        of another zone.
+        An entry keeps using one relay, on which its latency estimates are
+        based, until that relay fails. If all relays of the zone have failed
+        recently, an available relay of another zone is returned. None if
+        the zone has no relay that is not in `tried`.
+
+        Parameters
+        ----------
+        group : ShardGroup
+        tried : collection of str
+            Addresses of relays to leave out.
         """
-        near = self._pick(group, self.zone, tried)
-        if near is None or self._is_fit(near):
-            return near
-        far = self.pick_from_other_zone(group, tried)
-        return far if far is not None and self._is_fit(far) else near
+        local = self._pick_from_zone(group, self.zone, tried)
+        if local is None or self._is_available(local):
+            return local
+        remote = self.pick_from_other_zone(group, tried)
+        if remote is not None and self._is_available(remote):
+            return remote
+        return local
 
     def pick_from_other_zone(
-        self, group: Group, tried=()
+        self, group: ShardGroup, tried=()
     ) -> messages.Relay | None:
-        """Return a relay of another zone, where other replicas are near."""
+        """Return a relay of another zone, or None if there is none.
+
+        It is close to other replicas of the shards than this zone's relays.
+        """
         zones = {r.zone for r in self.relays} - {self.zone}
-        found = [self._pick(group, zone, tried) for zone in sorted(zones)]
-        found = [r for r in found if r is not None]
-        found.sort(key=lambda r: _hash(self.vm_id, r.vm_id))
-        if not found:
+        candidates = [
+            self._pick_from_zone(group, zone, tried) for zone in sorted(zones)
+        ]
+        candidates = [r for r in candidates if r is not None]
+        candidates.sort(key=lambda r: _hash(self.vm_id, r.vm_id))
+        if not candidates:
             return None
-        return min(found, key=self._read_failed_s)
+        return min(candidates, key=self._get_failed_s)
 
-    def list_own_services(self) -> set[str]:
-        """Return the shards that this VM gathers for others."""
+    def list_relayed_services(self) -> set[str]:
+        """Return the shards for which this VM is a relay."""
         services = set()
         for groups in self.groups_by_shards.values():
             for group in groups:
@@ -222,14 +257,14 @@
         return services
 
     def record_relay_failure(self, address: str, reason: str):
-        """Avoid a relay for a while."""
-        known = address in self.failed_s_by_address
+        """Avoid a relay for `FAILURE_BACKOFF_S`."""
+        is_new = address not in self.failed_s_by_address
         self.failed_s_by_address[address] = self.read_clock()
-        if not known:
+        if is_new:
             logs.log_decision("relay-failed", address=address, why=reason)
 
-    def note_report(self, address: str):
-        """Use a relay again that has answered."""
+    def clear_failure(self, address: str):
+        """Make a relay available again after it has reported."""
         if self.failed_s_by_address.pop(address, None) is not None:
             logs.log_decision("relay-answers", address=address)
 
@@ -238,32 +273,33 @@
         ranked = self.ranked_by_group.get(key)
         if ranked is None:
             ranked = rank_relays(self.relays, zone, group, self.queries_per_s)
-            # Another one for each group, so that they work side by side.
-            words = (self.vm_id, group.services[0])
-            ranked.sort(key=lambda r: _hash(*words, r.vm_id))
+            # The order differs by group, so that the groups of one query
+            # are processed by different relays in parallel.
+            keys = (self.vm_id, group.services[0])
+            ranked.sort(key=lambda r: _hash(*keys, r.vm_id))
             self.ranked_by_group[key] = ranked
         return ranked
 
-    def _pick(self, group, zone, tried):
-        found = [
+    def _pick_from_zone(self, group, zone, tried):
+        candidates = [
             r
             for r in self._rank(group, zone)
             if r.vm_id != self.vm_id and r.address not in tried
         ]
-        if not found:
+        if not candidates:
             return None
-        for relay in found:
-            if self._is_fit(relay):
+        for relay in candidates:
+            if self._is_available(relay):
                 return relay
-        return min(found, key=self._read_failed_s)
+        return min(candidates, key=self._get_failed_s)
 
-    def _is_fit(self, relay) -> bool:
-        limit = self.read_clock() - FAILURE_MEMORY_S
-        return self._read_failed_s(relay) < limit
+    def _is_available(self, relay) -> bool:
+        backoff_start_s = self.read_clock() - FAILURE_BACKOFF_S
+        return self._get_failed_s(relay) < backoff_start_s
 
-    def _read_failed_s(self, relay) -> float:
+    def _get_failed_s(self, relay) -> float:
         return self.failed_s_by_address.get(relay.address, -math.inf)
 
 
-def _hash(*words) -> int:
-    return zlib.crc32(" ".join(words).encode())
+def _hash(*keys) -> int:
+    return zlib.crc32(" ".join(keys).encode())
--- a/chervilspindle/routing/relay_selection_test.py
+++ b/chervilspindle/routing/relay_selection_test.py
@@ -1,4 +1,4 @@
-"""Tests of groups of shards, their relays and sets of parts."""
+"""Tests of shard groups, the choice of their relays, and merging of parts."""
 
 import collections
 
@@ -27,7 +27,7 @@
     )
     document = documents.Document(1, (route,), {}, documents.Limits())
     table.put_document(document)
-    table.put_relays(7, build_relays(count))
+    table.set_relays(7, build_relays(count))
     return table
 
 
@@ -37,61 +37,64 @@
     )
 
 
-def test_a_wide_query_on_a_part_of_a_core_is_divided():
+def test_query_over_many_shards_on_a_fraction_of_a_core_is_divided():
     groups = relay_selection.count_groups(90, 47.0, 0.361, 13.5)
     assert 4 <= groups <= 11
     assert (
-        sum(len(g.services) for g in relay_selection.divide(SHARDS, groups))
+        sum(
+            len(g.services)
+            for g in relay_selection.divide_shards(SHARDS, groups)
+        )
         == 90
     )
 
 
-def test_a_query_that_takes_little_by_itself_is_not_divided():
+def test_query_that_is_cheap_to_send_directly_is_not_divided():
     assert relay_selection.count_groups(20, 44.0, 0.731, 350.0) == 1
     assert relay_selection.count_groups(90, 0.0, 0.361, 13.5) == 1
 
 
-def test_groups_share_the_relays_of_a_zone():
+def test_groups_are_spread_over_the_relays_of_a_zone():
     table = build_table()
-    table.put_rate(600.0)
+    table.set_query_rate(600.0)
     counts = collections.Counter()
     for group in table.get_groups(SHARDS):
         ranked = rank(table, group)
-        assert len(ranked) >= relay_selection.LEAST_RELAYS
+        assert len(ranked) >= relay_selection.MIN_RELAYS
         counts.update(r.vm_id for r in ranked)
     assert len(counts) > 12 and max(counts.values()) <= 4
 
 
-def test_few_queries_go_to_few_relays_and_many_to_all():
+def test_number_of_relays_grows_with_the_query_rate():
     counts = [
         relay_selection.count_relays(34, 7, rate)
         for rate in (0.0, 7.0, 30.0, 1e6)
     ]
     assert counts == [2, 2, 4, 5]
     assert (
-        relay_selection.count_relays(1, 7, 7.0) == relay_selection.LEAST_RELAYS
+        relay_selection.count_relays(1, 7, 7.0) == relay_selection.MIN_RELAYS
     )
 
 
-def test_relays_stay_the_same_while_the_rate_varies_a_little():
+def test_small_changes_of_the_rate_do_not_change_the_relays():
     table = build_table()
-    table.put_rate(20.0)
+    table.set_query_rate(20.0)
     before = table.revision
-    table.put_rate(45.0)
+    table.set_query_rate(45.0)
     assert table.revision == before
-    table.put_rate(90.0)
+    table.set_query_rate(90.0)
     assert table.revision == before + 1
 
 
-def test_relays_stay_while_control_cannot_tell_the_rate():
+def test_unknown_rate_does_not_change_the_relays():
     table = build_table()
-    table.put_rate(90.0)
+    table.set_query_rate(90.0)
     before = table.revision, table.queries_per_s
-    table.put_rate(None)
+    table.set_query_rate(None)
     assert (table.revision, table.queries_per_s) == before
 
 
-def test_a_relay_that_leaves_moves_few_others():
+def test_removing_a_relay_replaces_only_that_relay():
     table = build_table()
     for group in table.get_groups(SHARDS):
         before = relay_selection.rank_relays(table.relays, "a", group, 200.0)
@@ -100,17 +103,17 @@
         assert len(set(after) - set(before)) <= 1
 
 
-def test_entries_keep_to_a_relay_and_spread_over_them():
+def test_each_entry_uses_one_relay_and_entries_use_different_ones():
     group = build_table().get_groups(SHARDS)[0]
     picked = collections.Counter()
     for number in range(0, 102, 3):
         table = build_table(f"vm-{number}")
         picked[table.pick(group).vm_id] += 1
         assert table.pick(group) == table.pick(group)
-    assert len(picked) >= relay_selection.LEAST_RELAYS
+    assert len(picked) >= relay_selection.MIN_RELAYS
 
 
-def test_a_silent_relay_is_avoided_until_it_reports():
+def test_failed_relay_is_avoided_until_backoff_ends_or_it_reports():
     clock = [100.0]
     table = build_table(clock=clock)
     group = table.get_groups(SHARDS)[0]
@@ -118,14 +121,14 @@
     table.record_relay_failure(first.address, "no report")
     second = table.pick(group)
     assert second != first
-    clock[0] += relay_selection.FAILURE_MEMORY_S + 0.1
+    clock[0] += relay_selection.FAILURE_BACKOFF_S + 0.1
     assert table.pick(group) == first
     table.record_relay_failure(first.address, "no report")
-    table.note_report(first.address)
+    table.clear_failure(first.address)
     assert table.pick(group) == first
 
 
-def test_when_a_zone_has_no_relay_left_another_zone_is_asked():
+def test_relay_of_another_zone_is_used_when_all_of_the_zone_failed():
     clock = [100.0]
     table = build_table(clock=clock)
     group = table.get_groups(SHARDS)[0]
@@ -135,20 +138,20 @@
     assert table.pick(group).zone != "a"
 
 
-def test_when_all_relays_are_silent_the_one_that_was_first_is_tried():
+def test_when_all_relays_failed_the_least_recent_failure_is_tried():
     clock = [100.0]
     table = build_table(clock=clock)
-    table.put_relays(8, [r for r in table.relays if r.zone == "a"])
+    table.set_relays(8, [r for r in table.relays if r.zone == "a"])
     group = table.get_groups(SHARDS)[0]
-    silent = []
+    failed = []
     for _ in rank(table, group):
-        silent.append(table.pick(group))
-        table.record_relay_failure(silent[-1].address, "no report")
+        failed.append(table.pick(group))
+        table.record_relay_failure(failed[-1].address, "no report")
         clock[0] += 0.1
-    assert table.pick(group) == silent[0]
+    assert table.pick(group) == failed[0]
 
 
-def test_a_far_relay_is_of_another_zone_and_none_is_its_own():
+def test_other_zone_relay_is_remote_and_an_entry_never_picks_itself():
     table = build_table()
     group = table.get_groups(SHARDS)[0]
     assert table.pick_from_other_zone(group).zone != "a"
@@ -162,20 +165,29 @@
     return messages.PartSet(services, b"s", b"")
 
 
-def test_parts_of_one_shard_count_once():
-    held = {}
-    assert parts.add_parts(held, part_set("a")) == ("a",)
-    assert parts.add_parts(held, part_set("a")) == ()
-    assert parts.add_parts(held, part_set("b", "c")) == ("b", "c")
-    assert len({id(p) for p in held.values()}) == 2
-
-
-def test_a_set_that_covers_more_takes_the_place_of_those_it_overlaps():
-    held = {}
-    parts.add_parts(held, part_set("a", "b"))
-    parts.add_parts(held, part_set("d"))
-    assert parts.add_parts(held, part_set("b", "c")) == ()
-    assert set(held) == {"a", "b", "d"}
-    assert parts.add_parts(held, part_set("b", "c", "e")) == ("c", "e")
-    assert set(held) == {"b", "c", "d", "e"}
-    assert held["b"] is held["e"] and held["d"] is not held["b"]
+def test_second_part_of_a_shard_is_ignored():
+    part_sets = {}
+    assert parts.add_parts(part_sets, part_set("a")) == ("a",)
+    assert parts.add_parts(part_sets, part_set("a")) == ()
+    assert parts.add_parts(part_sets, part_set("b", "c")) == (
+        "b",
+        "c",
+    )
+    assert len({id(p) for p in part_sets.values()}) == 2
+
+
+def test_larger_part_set_replaces_the_sets_it_overlaps():
+    part_sets = {}
+    parts.add_parts(part_sets, part_set("a", "b"))
+    parts.add_parts(part_sets, part_set("d"))
+    assert parts.add_parts(part_sets, part_set("b", "c")) == ()
+    assert set(part_sets) == {"a", "b", "d"}
+    assert parts.add_parts(part_sets, part_set("b", "c", "e")) == (
+        "c",
+        "e",
+    )
+    assert set(part_sets) == {"b", "c", "d", "e"}
+    assert (
+        part_sets["b"] is part_sets["e"]
+        and part_sets["d"] is not part_sets["b"]
+    )
--- a/chervilspindle/routing/relayed_query.py
+++ b/chervilspindle/routing/relayed_query.py
@@ -126,7 +126,7 @@
 
     def take_report(self, address: str, report: messages.RelayReport):
         """Take in a report of a relay."""
-        self.table.note_report(address)
+        self.table.clear_failure(address)
         sent = self.sent_by_id.get(report.query_id)
         if sent is not None:
             sent.take_report(report)
--- a/chervilspindle/routing/relayed_query_test.py
+++ b/chervilspindle/routing/relayed_query_test.py
@@ -126,7 +126,7 @@
             await one.network.listen(one.address).asFuture(self.loop)
             one.entry.put_document(document)
             one.context.relays.table.put_document(document)
-            one.context.relays.table.put_relays(
+            one.context.relays.table.set_relays(
                 1, [e.row for e in self.entries]
             )
             for backend in self.backend_by_id.values():
@@ -348,7 +348,7 @@
 
 def test_without_relays_the_entry_sends_itself(play):
     async def test(world):
-        world.entry.context.relays.table.put_relays(2, [])
+        world.entry.context.relays.table.set_relays(2, [])
         world.check(await world.ask("id-1"), "id-1", 24)
         assert not any(e.calls for e in world.entries)
 
