--- a/chervilspindle/routing/process.py
+++ b/chervilspindle/routing/process.py
@@ -212,7 +212,7 @@
             f"{settings.vm_id} {os.getpid()}",
         )
         self.context = context
-        self.relay = relayed_query.Relay(context)
+        self.relay = relayed_query.RelayServer(context)
         self.entry = entry_module.RoutingEntry(context)
         self.keeper = keeper_module.ConnectionKeeper(
             self.entry, self.timers, settings.vm_id, settings.core_share
@@ -236,8 +236,8 @@
         """Take a message of another entry."""
         if isinstance(message, messages.RelayReport):
             client = self.context.relays
-            client.take_report(link.dialled_address, message)
-        elif isinstance(message, relayed_query.FOR_RELAYS):
+            client.handle_report(link.dialled_address, message)
+        elif isinstance(message, relayed_query.RELAY_MESSAGES):
             self.relay.handle(link, message)
         else:
             super().handle(link, message)
--- a/chervilspindle/routing/relay_selection.py
+++ b/chervilspindle/routing/relay_selection.py
@@ -118,8 +118,9 @@
     """Return the relays of a group in a zone, by rendezvous hashing."""
     ranked = [r for r in relays if r.zone == zone]
     ranked.sort(key=lambda r: _hash(group.services[0], r.vm_id))
-    count = count_relays(len(ranked), group.group_count, queries_per_s)
-    return ranked[:count]
+    return ranked[
+        : count_relays(len(ranked), group.group_count, queries_per_s)
+    ]
 
 
 class RelayTable:
@@ -225,9 +226,11 @@
         if local is None or self._is_available(local):
             return local
         remote = self.pick_from_other_zone(group, tried)
-        if remote is not None and self._is_available(remote):
-            return remote
-        return local
+        return (
+            remote
+            if remote is not None and self._is_available(remote)
+            else local
+        )
 
     def pick_from_other_zone(
         self, group: ShardGroup, tried=()
@@ -258,9 +261,9 @@
 
     def record_relay_failure(self, address: str, reason: str):
         """Avoid a relay for `FAILURE_BACKOFF_S`."""
-        is_new = address not in self.failed_s_by_address
+        failed_before = address in self.failed_s_by_address
         self.failed_s_by_address[address] = self.read_clock()
-        if is_new:
+        if not failed_before:
             logs.log_decision("relay-failed", address=address, why=reason)
 
     def clear_failure(self, address: str):
--- a/chervilspindle/routing/relayed_query.py
+++ b/chervilspindle/routing/relayed_query.py
@@ -1,9 +1,10 @@
-"""Both ends of relayed shards: the entry of a query, and its relay.
+"""Client and server of relayed queries.
 
-A relay reports at a time that the entry gives what it has by then, merged,
-and later parts one by one as they come. It decides nothing on its own, so
-that the entry knows how often a shard may have run whatever becomes of the
-relay: each message stands for one send of each of its shards.
+A relay queries shards on behalf of another entry. At a time set by that
+entry it reports the parts received so far, merged into one set; later parts
+are reported unmerged as they arrive. Retries and hedges are left to the
+entry: each `RelayCall` sends each of its shards at most once, so the entry
+can bound how often a shard may have run even if the relay is lost.
 """
 
 import functools
@@ -15,26 +16,27 @@
 from chervilspindle.routing import parts_query
 from chervilspindle.wire import messages
 
-GATHER_S = 0.002  # parts that come together are reported together
-FOR_RELAYS = (messages.RelayCall, messages.RelayCancel)
+REPORT_BATCH_S = 0.002  # parts within this time share one report
+RELAY_MESSAGES = (messages.RelayCall, messages.RelayCancel)
 
 
-class RelayedParts:
+class RelayedDispatch:
     """Shards of a query that were sent through a relay.
 
-    Has the methods of `parts_query.PartsQuery`.
+    Has the same interface as `parts_query.PartsQuery`.
 
     Attributes
     ----------
     presumed_lost : bool
-        Whether the relay was silent for so long that nobody waits for it.
+        Whether the relay's first report is so late that the entry no longer
+        waits for it.
     """
 
     def __init__(self, client, address, query_id, services, listener):
         self.client = client
         self.address = address
         self.query_id = query_id
-        self.open_services = set(services)
+        self.pending_services = set(services)
         self.listener = listener
         self.reported = False
         self.presumed_lost = False
@@ -44,41 +46,41 @@
         return not self.reported
 
     def may_have_run(self) -> bool:
-        """Tell whether an endpoint may be at work."""
-        return bool(self.open_services)
+        """Tell whether an endpoint may be executing a shard."""
+        return bool(self.pending_services)
 
     def stop(self):
-        """Take no more reports; what was sent ends by itself."""
-        self.client.forget(self)
+        """Ignore further reports; shards in progress are not cancelled."""
+        self.client.discard(self)
 
     def cancel(self):
-        """Have the relay give up what is in progress."""
+        """Make the relay cancel the shards in progress."""
         self.client.cancel(self)
 
-    def take_report(self, report: messages.RelayReport):
-        """Pass on what a relay reports."""
+    def handle_report(self, report: messages.RelayReport):
+        """Pass the content of a report to the listener."""
         self.reported = True
         self.presumed_lost = False
         for service, endpoint_id in report.sent:
             self.listener.on_endpoint_chosen(self, service, endpoint_id)
-        for found in report.parts:
-            self.open_services.difference_update(found.services)
-            self.listener.on_part_set(self, found, report.usual_ms)
-        self.open_services.difference_update(
+        for part_set in report.parts:
+            self.pending_services.difference_update(part_set.services)
+            self.listener.on_part_set(self, part_set, report.usual_ms)
+        self.pending_services.difference_update(
             loss.service for loss in report.losses
         )
         if report.losses:
             self.listener.on_parts_lost(self, report.losses)
-        if not self.open_services:
-            self.client.forget(self)
+        if not self.pending_services:
+            self.client.discard(self)
 
     def fail(self, reason: str):
-        """Lose all shards that are in progress."""
+        """Report all shards in progress as lost."""
         losses = [
             messages.Loss(service, "", reason, True)
-            for service in sorted(self.open_services)
+            for service in sorted(self.pending_services)
         ]
-        self.open_services.clear()
+        self.pending_services.clear()
         self.listener.on_parts_lost(self, losses)
 
 
@@ -88,19 +90,19 @@
     Parameters
     ----------
     network : PeerNetwork
-    table : relays.RelayTable
+    table : relay_selection.RelayTable
     """
 
     def __init__(self, network, table):
         self.network = network
         self.table = table
-        self.ids = itertools.count(1)
-        self.sent_by_id = {}
-        network.lost_listeners.append(self._lose_link)
+        self.query_ids = itertools.count(1)
+        self.dispatch_by_id = {}
+        network.lost_listeners.append(self._handle_lost_link)
 
     def send(
         self, relay, services, tried, message, request, listener
-    ) -> RelayedParts:
+    ) -> RelayedDispatch:
         """Send shards through a relay.
 
         Parameters
@@ -108,53 +110,58 @@
         relay : messages.Relay
         services : tuple of str
         tried : tuple of tuple of str
-            Endpoints that got a shard before, by shard; may be empty.
+            Endpoints to which each shard was sent before; may be empty.
         message : forwarding.Message
         request : messages.RelayedRequest
         listener
-            Gets ``take_part_set(sent, part_set, usual_ms)``,
-            ``lose_parts(sent, losses)`` and ``note_endpoint``.
+            Receives ``on_part_set(dispatch, part_set, usual_ms)``,
+            ``on_parts_lost(dispatch, losses)`` and
+            ``on_endpoint_chosen(dispatch, service, endpoint_id)``.
         """
-        query_id = next(self.ids)
-        sent = RelayedParts(self, relay.address, query_id, services, listener)
-        self.sent_by_id[query_id] = sent
+        query_id = next(self.query_ids)
+        dispatch = RelayedDispatch(
+            self, relay.address, query_id, services, listener
+        )
+        self.dispatch_by_id[query_id] = dispatch
         call = messages.RelayCall(
             query_id, message.head, message.tail, services, tried, request
         )
         self.network.send(relay.address, call)
-        return sent
+        return dispatch
 
-    def take_report(self, address: str, report: messages.RelayReport):
-        """Take in a report of a relay."""
+    def handle_report(self, address: str, report: messages.RelayReport):
+        """Handle a report from a relay."""
         self.table.clear_failure(address)
-        sent = self.sent_by_id.get(report.query_id)
-        if sent is not None:
-            sent.take_report(report)
-
-    def forget(self, sent: RelayedParts):
-        """Take no more reports of one send."""
-        self.sent_by_id.pop(sent.query_id, None)
-
-    def cancel(self, sent: RelayedParts):
-        """Have a relay give up."""
-        self.forget(sent)
-        if sent.open_services:
+        dispatch = self.dispatch_by_id.get(report.query_id)
+        if dispatch is not None:
+            dispatch.handle_report(report)
+
+    def discard(self, dispatch: RelayedDispatch):
+        """Ignore further reports of a dispatch."""
+        self.dispatch_by_id.pop(dispatch.query_id, None)
+
+    def cancel(self, dispatch: RelayedDispatch):
+        """Make the relay cancel what is in progress of a dispatch."""
+        self.discard(dispatch)
+        if dispatch.pending_services:
             self.network.send(
-                sent.address, messages.RelayCancel(sent.query_id)
+                dispatch.address, messages.RelayCancel(dispatch.query_id)
             )
 
-    def _lose_link(self, address):
-        lost = [s for s in self.sent_by_id.values() if s.address == address]
+    def _handle_lost_link(self, address):
+        lost = [
+            d for d in self.dispatch_by_id.values() if d.address == address
+        ]
         if lost:
             self.table.record_relay_failure(address, "link lost")
-        for sent in lost:
-            self.forget(sent)
-        for sent in lost:
-            sent.fail("relay_lost")
+        for dispatch in lost:
+            self.discard(dispatch)
+        for dispatch in lost:
+            dispatch.fail("relay_lost")
 
 
-class Relay:
-    """Gathers shards for other entries.
+class RelayServer:
+    """Queries shards on behalf of other entries.
 
     Parameters
     ----------
@@ -163,141 +170,148 @@
 
     def __init__(self, context):
         self.context = context
-        self.query_by_key = {}
+        self.served_by_key = {}
 
     def count_busy(self) -> int:
-        """Return how many queries of other entries are in progress."""
-        return len(self.query_by_key)
+        """Return the number of relayed calls in progress."""
+        return len(self.served_by_key)
 
     def handle(self, link, message):
-        """Take a message of another entry."""
-        _take(message, self, link)
+        """Handle a message from another entry."""
+        _handle_message(message, self, link)
 
 
 @functools.singledispatch
-def _take(message, relay: Relay, link):
-    raise TypeError(f"not for a relay: {type(message).__name__}")
+def _handle_message(message, server: RelayServer, link):
+    raise TypeError(f"relay cannot handle message {type(message).__name__}")
 
 
-@_take.register
-def _take_call(message: messages.RelayCall, relay: Relay, link):
-    query = _RelayedQuery(relay, link, message)
-    relay.query_by_key[link, message.query_id] = query
-    query.start()
+@_handle_message.register
+def _handle_call(message: messages.RelayCall, server: RelayServer, link):
+    served = _ServedCall(server, link, message)
+    server.served_by_key[link, message.query_id] = served
+    served.start()
 
 
-@_take.register
-def _take_cancel(message: messages.RelayCancel, relay: Relay, link):
-    query = relay.query_by_key.get((link, message.query_id))
-    if query is not None:
-        query.cancel()
+@_handle_message.register
+def _handle_cancel(message: messages.RelayCancel, server: RelayServer, link):
+    served = server.served_by_key.get((link, message.query_id))
+    if served is not None:
+        served.cancel()
 
 
-class _RelayedQuery:
-    """Shards that are gathered for another entry."""
+class _ServedCall:
+    """A `RelayCall` in progress at the relay."""
 
-    def __init__(self, relay, link, call):
-        self.relay = relay
+    def __init__(self, server, link, call):
+        self.server = server
         self.link = link
         self.call = call
-        context = relay.context
+        context = server.context
         self.loop = context.loop
         request = call.request
         started_s = self.loop.time()
-        self.query = parts_query.PartsQuery(
+        self.dispatch = parts_query.PartsQuery(
             context,
             forwarding.Message(call.head, call.tail, context.names.sent),
             request.request_id,
             started_s + request.left_ms / 1000.0,
             self,
         )
-        self.open = len(call.services)
+        self.pending_count = len(call.services)
         self.endpoint_by_service = {}
         self.parts = []
         self.losses = []
-        self.took_ms = []
-        self.first_sent = False
-        self.planned = None
-        self.timer = self.loop.call_at(
+        self.durations_ms = []
+        self.first_report_sent = False
+        self.batch_timer = None
+        self.first_report_timer = self.loop.call_at(
             started_s + request.report_ms / 1000.0, self._report_first
         )
 
     def start(self):
-        """Send to the endpoints."""
+        """Send the shards to endpoints."""
         services, tried = self.call.services, self.call.tried
-        self.query.start(services, dict(zip(services, tried)))
+        self.dispatch.start(services, dict(zip(services, tried)))
 
     def cancel(self):
-        """Give up."""
-        self.query.cancel()
-        self._end()
+        """Cancel the shards in progress."""
+        self.dispatch.cancel()
+        self._close()
 
-    # What a parts query tells its listener.
+    # Listener methods called by the parts query.
 
-    def on_endpoint_chosen(self, query, service, endpoint_id):
+    def on_endpoint_chosen(self, dispatch, service, endpoint_id):
         self.endpoint_by_service[service] = endpoint_id
 
-    def on_part(self, query, service, stamp, body, took_ms):
+    def on_part(self, dispatch, service, stamp, body, took_ms):
         self.parts.append(messages.PartSet((service,), stamp, body))
-        self.took_ms.append(took_ms)
-        self._settle(service)
+        self.durations_ms.append(took_ms)
+        self._complete_shard(service)
 
-    def on_part_lost(self, query, loss):
+    def on_part_lost(self, dispatch, loss):
         self.losses.append(loss)
-        self._settle(loss.service)
+        self._complete_shard(loss.service)
 
-    def _settle(self, service):
+    def _complete_shard(self, service):
         self.endpoint_by_service.pop(service, None)
-        self.open -= 1
-        if not self.open:
+        self.pending_count -= 1
+        if not self.pending_count:
             self._report()
-            self._end()
-        elif self.planned is None and (self.first_sent or self.losses):
-            self.planned = self.loop.call_later(GATHER_S, self._report_more)
+            self._close()
+        elif self.batch_timer is None and (
+            self.first_report_sent or self.losses
+        ):
+            self.batch_timer = self.loop.call_later(
+                REPORT_BATCH_S, self._report_batch
+            )
 
-    def _report_more(self):
-        self.planned = None
-        if self.first_sent:
+    def _report_batch(self):
+        self.batch_timer = None
+        if self.first_report_sent:
             self._report()
             return
-        # Lost shards can be sent again without waiting for the others.
+        # Before the first report only losses are sent, so that the entry
+        # can retry those shards without waiting for the others.
         losses, self.losses = tuple(self.losses), []
         self._send_report((), losses, ())
 
     def _report_first(self):
         self._report()
-        self.first_sent = True
-        late = dict(itertools.islice(self.endpoint_by_service.items(), 8))
+        self.first_report_sent = True
+        pending = dict(itertools.islice(self.endpoint_by_service.items(), 8))
         logs.log_decision(
             "relayed-late",
             request_id=self.call.request.request_id.decode("latin-1"),
-            open=late,
+            open=pending,
             after_ms=round(self.call.request.report_ms, 1),
         )
 
     def _report(self):
-        found, losses = tuple(self.parts), tuple(self.losses)
+        part_sets, losses = tuple(self.parts), tuple(self.losses)
         in_progress = ()
-        if not self.first_sent:
+        if not self.first_report_sent:
             in_progress = tuple(self.endpoint_by_service.items())
-            if len(found) > 1:
-                found = (parts.merge_parts(found, self.call.request.top_k),)
+            if len(part_sets) > 1:
+                part_sets = (
+                    parts.merge_parts(part_sets, self.call.request.top_k),
+                )
         self.parts, self.losses = [], []
-        self._send_report(found, losses, in_progress)
+        self._send_report(part_sets, losses, in_progress)
 
-    def _send_report(self, found, losses, in_progress):
-        usual_ms = 0.0
-        if found:
-            usual_ms = sum(self.took_ms) / len(self.took_ms)
-            self.took_ms = []
+    def _send_report(self, part_sets, losses, in_progress):
+        mean_ms = 0.0
+        if part_sets:
+            mean_ms = sum(self.durations_ms) / len(self.durations_ms)
+            self.durations_ms = []
         self.link.send(
             messages.RelayReport(
-                self.call.query_id, found, losses, in_progress, usual_ms
+                self.call.query_id, part_sets, losses, in_progress, mean_ms
             )
         )
 
-    def _end(self):
-        self.timer.cancel()
-        if self.planned is not None:
-            self.planned.cancel()
-        self.relay.query_by_key.pop((self.link, self.call.query_id), None)
+    def _close(self):
+        self.first_report_timer.cancel()
+        if self.batch_timer is not None:
+            self.batch_timer.cancel()
+        self.server.served_by_key.pop((self.link, self.call.query_id), None)
--- a/chervilspindle/routing/relayed_query_test.py
+++ b/chervilspindle/routing/relayed_query_test.py
@@ -1,4 +1,4 @@
-"""Tests of shards that go through relays, over real sockets."""
+"""Tests of queries sent through relays, over real sockets."""
 
 import asyncio
 import collections
@@ -36,12 +36,12 @@
     top_k=20,
     min_coverage=0.75,
 )
-# So slow a link that 24 shards make three groups of eight.
+# Slow enough that the 24 shards are divided into three groups of eight.
 LINK_MBPS = 0.5
 
 
 class Entry:
-    """One entry that may also be a relay; `silent` makes it answer none."""
+    """An entry that is also a relay; while `silent` it ignores relay calls."""
 
     def __init__(self, loop, clock, name, zone):
         self.timers = timers_module.TimerService(clock)
@@ -67,11 +67,11 @@
         self.context.budget.vms = 1
         self.row = messages.Relay(name, zone, self.address)
         self.entry = entry_module.RoutingEntry(self.context)
-        self.relay = relayed_query.Relay(self.context)
+        self.relay = relayed_query.RelayServer(self.context)
 
     def handle(self, link, message):
         if isinstance(message, messages.RelayReport):
-            self.context.relays.take_report(link.dialled_address, message)
+            self.context.relays.handle_report(link.dialled_address, message)
             return
         self.calls.append(message)
         if not self.silent:
@@ -79,9 +79,9 @@
 
 
 class World:
-    """Five entries in each of two zones, an endpoint of each shard in both.
+    """Two zones, each with five entries and one endpoint per shard.
 
-    Callers ask the first entry.
+    Callers send their requests to the first entry.
     """
 
     def __init__(self, loop):
@@ -122,28 +122,28 @@
         document = documents.Document(
             3, (ROUTE,), services, documents.Limits()
         )
-        for one in self.entries:
-            await one.network.listen(one.address).asFuture(self.loop)
-            one.entry.put_document(document)
-            one.context.relays.table.put_document(document)
-            one.context.relays.table.set_relays(
+        for entry in self.entries:
+            await entry.network.listen(entry.address).asFuture(self.loop)
+            entry.entry.put_document(document)
+            entry.context.relays.table.put_document(document)
+            entry.context.relays.table.set_relays(
                 1, [e.row for e in self.entries]
             )
             for backend in self.backend_by_id.values():
-                one.context.table.put(backend.build_row())
+                entry.context.table.put(backend.build_row())
 
     def stop(self):
         self.server.stop()
         for backend in self.backend_by_id.values():
             backend.stop()
-        for one in self.entries:
-            one.network.close()
+        for entry in self.entries:
+            entry.network.close()
 
     def list_groups(self):
         return self.entry.context.relays.table.get_groups(SHARDS)
 
     def find_relays(self):
-        """Return the entries that the groups of the first entry go to."""
+        """Return the relays of the first entry's groups."""
         table = self.entry.context.relays.table
         entry_by_id = {e.row.vm_id: e for e in self.entries}
         return [
@@ -159,7 +159,7 @@
         )
 
     async def warm(self):
-        """Open connections; hedges are due after 190 ms from then on."""
+        """Open connections; from then on hedges are sent after 190 ms."""
         await self.ask("warm")
         await self.ask("warm-2")
         self.entry.context.pace.usual_ms_by_route["all"] = 1000.0
@@ -169,7 +169,7 @@
         return await ask(self, "/all/x", request_id)
 
     def check(self, answer, request_id, least):
-        """Check stamps, count of missing parts and records."""
+        """Check the stamps, the number of missing parts and the records."""
         status, headers, body = answer
         assert status == 200
         stamps = data_path_test.read_stamps(headers)
@@ -193,11 +193,11 @@
     return run
 
 
-def test_shards_go_through_relays_of_the_zone_and_stay_there(play):
+def test_shards_are_sent_once_through_relays_of_the_same_zone(play):
     async def test(world):
         await world.warm()
-        for one in world.entries:
-            one.calls.clear()
+        for entry in world.entries:
+            entry.calls.clear()
         for number in range(3):
             answer = await world.ask(f"id-{number}")
             world.check(answer, f"id-{number}", 24)
@@ -210,30 +210,30 @@
     play(test)
 
 
-def test_a_paused_endpoint_is_hedged_near_a_replica_in_another_zone(play):
+def test_paused_endpoint_is_hedged_through_a_relay_of_another_zone(play):
     async def test(world):
         await world.warm()
         world.backend_by_id["shard-03-a"].paused = True
         answer = await world.ask("id-1")
         world.check(answer, "id-1", 24)
-        far = [
+        remote = [
             call
             for e in world.entries
             for call in e.calls
             if e.row.zone == "b" and call.request.request_id == b"id-1"
         ]
-        assert [c.services for c in far] == [("shard-03",)]
-        assert far[0].tried == (("shard-03-a",),)
+        assert [c.services for c in remote] == [("shard-03",)]
+        assert remote[0].tried == (("shard-03-a",),)
 
     play(test)
 
 
-def test_a_silent_relay_is_replaced_and_avoided(play):
+def test_silent_relay_is_replaced_and_then_avoided(play):
     async def test(world):
         await world.warm()
         silent = world.find_relays()[1]
         silent.silent = True
-        missed = [
+        group_services = [
             service
             for relay, group in zip(world.find_relays(), world.list_groups())
             for service in group.services
@@ -244,30 +244,30 @@
         calls = len(silent.calls)
         world.check(await world.ask("id-2"), "id-2", 24)
         assert len(silent.calls) == calls
-        # Sent twice, of which the silent relay ran none.
+        # Sent twice, but the silent relay did not send to any endpoint.
         runs = world.count_runs()
-        assert {runs[f"id-1{service}"] for service in missed} == {1}
+        assert {runs[f"id-1{service}"] for service in group_services} == {1}
         assert max(runs.values()) <= ROUTE.max_attempts
 
     play(test)
 
 
-def test_a_relay_that_is_gone_is_replaced(play):
+def test_relay_whose_link_breaks_is_replaced(play):
     async def test(world):
         await world.warm()
         lost = world.find_relays()[0]
         world.backend_by_id["shard-03-a"].work_s = 0.06
-        asking = world.loop.create_task(world.ask("id-1"))
+        request = world.loop.create_task(world.ask("id-1"))
         await asyncio.sleep(0.01)
         for link in list(lost.network.links):
             link.transport.abortConnection()
-        world.check(await asking, "id-1", 24)
+        world.check(await request, "id-1", 24)
         assert max(world.count_runs().values()) <= ROUTE.max_attempts
 
     play(test)
 
 
-def test_no_shard_runs_more_often_than_allowed_whatever_fails(play):
+def test_max_attempts_holds_when_relays_and_endpoints_fail(play):
     async def test(world):
         await world.warm()
         world.find_relays()[0].silent = True
@@ -290,33 +290,33 @@
         if condition():
             return
         await asyncio.sleep(0.002)
-    raise AssertionError("did not happen")
+    raise AssertionError("condition not met within 1 s")
 
 
-def test_a_refusal_does_not_wait_for_the_report(play):
+def test_refused_shard_is_retried_before_the_first_report(play):
     async def test(world):
         await world.warm()
-        # Reports are due some time before hedges, which are late then.
+        # Raises the hedge time and with it the time of the first report.
         world.entry.context.pace.usual_ms_by_route["all"] = 100.0
         for zone in "ab":
             world.backend_by_id[f"shard-00-{zone}"].work_s = 0.15
         world.backend_by_id["shard-03-a"].refusing = True
-        asking = world.loop.create_task(world.ask("id-1"))
+        request = world.loop.create_task(world.ask("id-1"))
         runs = world.backend_by_id["shard-03-b"].runs
         await wait_for(lambda: "id-1" in [r.request_id for r in runs])
-        first = [
-            query
+        served = [
+            call
             for e in world.entries
-            for query in e.relay.query_by_key.values()
-            if "shard-00" in query.call.services
+            for call in e.relay.served_by_key.values()
+            if "shard-00" in call.call.services
         ]
-        assert [query.first_sent for query in first] == [False]
-        world.check(await asking, "id-1", 24)
+        assert [call.first_report_sent for call in served] == [False]
+        world.check(await request, "id-1", 24)
 
     play(test)
 
 
-def test_relays_give_up_when_the_caller_has_left(play):
+def test_relays_cancel_shards_when_the_caller_disconnects(play):
     async def test(world):
         await world.warm()
         for backend in world.backend_by_id.values():
@@ -346,7 +346,7 @@
     play(test)
 
 
-def test_without_relays_the_entry_sends_itself(play):
+def test_without_relays_the_entry_sends_directly(play):
     async def test(world):
         world.entry.context.relays.table.set_relays(2, [])
         world.check(await world.ask("id-1"), "id-1", 24)
