--- a/chervilspindle/routing/connection_prewarmer.py
+++ b/chervilspindle/routing/connection_prewarmer.py
@@ -1,12 +1,13 @@
-"""Keeps connections open to the endpoints that the next query will need.
+"""Opens connections to endpoints ahead of the queries that need them.
 
-Where endpoints accept fewer connections than there are entries, the others
-are closed soon after use, so that no entry is turned away for connections
-that another one holds idle.
+Endpoints close idle connections, so an entry with few queries would have to
+connect to every shard when the next query arrives. For many shards, a VM
+with a fraction of a core would spend more time on that than the latency
+objective allows.
 
-An entry with few queries finds its connections closed by the endpoints when
-the next one comes. Opening one for each of many shards at that moment costs
-a VM with a part of a core more time than the query has.
+Where endpoints accept too few connections for all entries, connections that
+are not prewarmed are closed soon after use, so that no entry is refused
+because of idle connections of another one.
 """
 
 import math
@@ -14,27 +15,39 @@
 
 from chervilspindle.core import logs
 
-TICK_S = 0.25
-OPENED_A_TICK = 8  # spreads the processor time of opening
-CONNECT_CORE_MS = 0.15  # processor time of one connection, on a whole core
-KEEP_SHARE = 0.1  # of the objective; less is not worth the connections
-PAUSE_S = 2.0  # after a connection that failed
-SPARE_S = 1.0  # idle time of a connection where they are scarce
-SCARCE_SHARE = 2.0  # connections of an endpoint for each entry
+INTERVAL_S = 0.25
+MAX_OPENED_PER_INTERVAL = 8  # spreads the CPU time of connecting
+CONNECT_CORE_MS = 0.15  # CPU time per connection, on a whole core
+# Share of the objective that connecting takes. Below it, prewarming is not
+# worth the connections that it holds.
+MIN_CONNECT_SHARE = 0.1
+RETRY_DELAY_S = 2.0  # after a failed connection attempt
+SCARCE_IDLE_S = 1.0  # maximum idle time where connections are scarce
+SCARCE_CONNECTIONS_PER_ENTRY = 2.0  # with fewer, they count as scarce
 
 
-def is_worth_keeping(
+def is_prewarming_needed(
     shards: int, objective_ms: float, core_share: float
 ) -> bool:
-    """Tell whether opening connections would take a query too long."""
+    """Tell whether connecting would delay a query too much.
+
+    Parameters
+    ----------
+    shards : int
+        Connections that the query needs.
+    objective_ms : float
+        Latency objective; 0 if there is none.
+    core_share : float
+        Share of a CPU core that the process may use.
+    """
     if not objective_ms:
         return False
-    opening_ms = shards * CONNECT_CORE_MS / core_share
-    return opening_ms > KEEP_SHARE * objective_ms
+    connect_ms = shards * CONNECT_CORE_MS / core_share
+    return connect_ms > MIN_CONNECT_SHARE * objective_ms
 
 
-class ConnectionKeeper:
-    """Opens connections ahead of queries.
+class ConnectionPrewarmer:
+    """Periodically opens the connections that this VM's queries need.
 
     Parameters
     ----------
@@ -42,77 +55,91 @@
     timers : TimerService
     vm_id : str
     core_share : float
-        Part of a core that the process may use.
+        Share of a CPU core that the process may use.
     """
 
     def __init__(self, entry, timers, vm_id, core_share):
         self.entry = entry
         self.vm_id = vm_id
         self.core_share = core_share
-        self.planned_for = None
-        self.homes = ()
-        timers.subscribe("connection-keeper", TICK_S, self.tick)
+        self.plan_key = None
+        self.prewarmed_pools = ()
+        timers.subscribe("connection-prewarmer", INTERVAL_S, self.maintain)
 
-    def tick(self):
-        """Open some of the connections that are missing."""
+    def maintain(self):
+        """Update the plan, close scarce connections, open missing ones."""
         document = self.entry.document
         if document is None or self.entry.draining:
             return
         table = self.entry.context.table
         relays = self.entry.context.relays.table
-        basis = (document.version, table.revision, relays.revision)
-        if basis != self.planned_for:
-            self.planned_for = basis
+        key = (document.version, table.revision, relays.revision)
+        if key != self.plan_key:
+            self.plan_key = key
             self._plan(document, table, relays)
         now = self.entry.context.loop.time()
-        self._close_spare(table, now)
-        left = OPENED_A_TICK
-        for pool in self.homes:
-            if pool.count or now - pool.failed_s < PAUSE_S:
+        self._close_scarce_idle(table, now)
+        remaining = MAX_OPENED_PER_INTERVAL
+        for pool in self.prewarmed_pools:
+            if pool.count or now - pool.failed_s < RETRY_DELAY_S:
                 continue
             pool.open_idle()
-            left -= 1
-            if not left:
+            remaining -= 1
+            if not remaining:
                 return
 
     def _plan(self, document, table, relays):
-        """Find the endpoints whose connections are kept."""
+        """Choose the endpoints to keep connections open to.
+
+        They serve the shards for which this VM is a relay, and those of
+        routes that this entry sends directly.
+        """
         services = relays.list_relayed_services()
         for route in document.routes:
             if relays.get_groups(route.shards):
                 continue
-            if is_worth_keeping(
+            if is_prewarming_needed(
                 len(route.shards), route.objective_ms, self.core_share
             ):
                 services.update(route.shards)
-        homes = [self._find_home(table, s) for s in sorted(services)]
-        homes = tuple(pool for pool in homes if pool is not None)
-        if len(homes) != len(self.homes):
-            logs.log_decision("connections-kept", endpoints=len(homes))
-        self.homes = homes
-
-    def _close_spare(self, table, now):
-        """Close what is idle at other endpoints with few connections."""
-        kept = set(map(id, self.homes))
+        prewarmed_pools = [
+            self._choose_pool(table, s) for s in sorted(services)
+        ]
+        prewarmed_pools = tuple(
+            pool for pool in prewarmed_pools if pool is not None
+        )
+        if len(prewarmed_pools) != len(self.prewarmed_pools):
+            logs.log_decision(
+                "connections-kept", endpoints=len(prewarmed_pools)
+            )
+        self.prewarmed_pools = prewarmed_pools
+
+    def _close_scarce_idle(self, table, now):
+        """Close idle connections that are scarce and not prewarmed."""
+        kept = set(map(id, self.prewarmed_pools))
         for target in table.target_by_id.values():
             limit = table.connections_by_service.get(
                 target.endpoint.service, 0
             )
-            scarce = 0 < limit < SCARCE_SHARE * table.vms
+            scarce = 0 < limit < SCARCE_CONNECTIONS_PER_ENTRY * table.vms
             if scarce and id(target.pool) not in kept:
-                target.pool.keep_s = SPARE_S
+                target.pool.keep_s = SCARCE_IDLE_S
                 target.pool.close_stale(now)
             else:
                 target.pool.keep_s = math.inf
 
-    def _find_home(self, table, service):
-        """Return the pool that queries from this VM use first."""
+    def _choose_pool(self, table, service):
+        """Return the pool to prewarm for a service, None without endpoints.
+
+        Chosen by rendezvous hashing among the endpoints of this zone, which
+        queries from this VM prefer, or among all if this zone has none.
+        """
         targets = table.targets_by_service.get(service)
         if not targets:
             return None
-        near = [t for t in targets.values() if t.same_zone]
+        local = [t for t in targets.values() if t.same_zone]
         chosen = min(
-            near or targets.values(),
+            local or targets.values(),
             key=lambda t: zlib.crc32(
                 f"{self.vm_id} {t.endpoint.endpoint_id}".encode()
             ),
--- a/chervilspindle/routing/connection_prewarmer_test.py
+++ b/chervilspindle/routing/connection_prewarmer_test.py
@@ -1,4 +1,4 @@
-"""Tests of connections that are opened ahead of queries."""
+"""Tests of opening connections ahead of queries."""
 
 import typing
 
@@ -12,7 +12,7 @@
 
 
 class Pool:
-    """Counts what is opened."""
+    """A connection pool that counts what is opened and closed."""
 
     def __init__(self):
         self.count = 0
@@ -45,7 +45,7 @@
 
 
 class Fake(typing.NamedTuple):
-    """An entry, a context or a table, as far as the keeper looks."""
+    """Stand-in for an entry, a context or a table of the prewarmer."""
 
     document: object = None
     draining: bool = False
@@ -107,7 +107,7 @@
         ),
     )
     timers = timers_module.TimerService(clock)
-    connection_prewarmer.ConnectionKeeper(entry, timers, "vm-1", core_share)
+    connection_prewarmer.ConnectionPrewarmer(entry, timers, "vm-1", core_share)
     return clock, targets
 
 
@@ -120,28 +120,29 @@
     ]
 
 
-def test_a_wide_query_on_a_part_of_a_core_finds_its_connections_open():
+def test_connections_to_many_shards_are_opened_on_a_fraction_of_a_core():
     clock, targets = build(shards=90, core_share=0.361)
-    clock.pump([connection_prewarmer.TICK_S] * 12)
+    clock.pump([connection_prewarmer.INTERVAL_S] * 12)
     assert list_opened(targets, True) == [1] * 90
     assert list_opened(targets, False) == [0] * 90
 
 
-def test_opening_is_spread_over_time():
+def test_number_opened_per_interval_is_bounded():
     clock, targets = build(shards=90, core_share=0.361)
-    clock.advance(connection_prewarmer.TICK_S)
+    clock.advance(connection_prewarmer.INTERVAL_S)
     assert (
-        sum(list_opened(targets, True)) == connection_prewarmer.OPENED_A_TICK
+        sum(list_opened(targets, True))
+        == connection_prewarmer.MAX_OPENED_PER_INTERVAL
     )
 
 
-def test_a_narrow_query_on_most_of_a_core_opens_none():
+def test_few_shards_on_most_of_a_core_are_not_prewarmed():
     clock, targets = build(shards=20, core_share=0.731)
-    clock.pump([connection_prewarmer.TICK_S] * 12)
+    clock.pump([connection_prewarmer.INTERVAL_S] * 12)
     assert sum(list_opened(targets, True)) == 0
 
 
-def test_an_endpoint_that_refuses_connections_is_left_alone_for_a_while():
+def test_failed_connection_is_retried_after_a_delay():
     clock, targets = build(shards=90, core_share=0.361)
     pool = targets["s-0"]["s-0-a"].pool
     pool.failed_s = clock.seconds()
@@ -151,39 +152,39 @@
     assert pool.opened == 1
 
 
-def test_scarce_connections_are_closed_soon_but_at_home():
-    _, targets = clock_targets = build(90, 0.361, connections=86, vms=102)
-    clock_targets[0].advance(connection_prewarmer.TICK_S)
-    homes = [t.pool for d in targets.values() for t in d.values()]
-    closed = [p for p in homes if p.closed_s]
+def test_scarce_connections_are_closed_unless_prewarmed():
+    _, targets = built = build(90, 0.361, connections=86, vms=102)
+    built[0].advance(connection_prewarmer.INTERVAL_S)
+    pools = [t.pool for d in targets.values() for t in d.values()]
+    closed = [p for p in pools if p.closed_s]
     assert len(closed) == 90
-    assert all(p.keep_s == connection_prewarmer.SPARE_S for p in closed)
+    assert all(p.keep_s == connection_prewarmer.SCARCE_IDLE_S for p in closed)
 
 
-def test_connections_that_are_plenty_stay():
+def test_plentiful_connections_are_not_closed():
     clock, targets = build(90, 0.361, connections=300, vms=102)
-    clock.advance(connection_prewarmer.TICK_S)
+    clock.advance(connection_prewarmer.INTERVAL_S)
     pools = [t.pool for d in targets.values() for t in d.values()]
     assert not any(p.closed_s for p in pools)
 
 
-def test_a_relay_keeps_connections_for_its_own_groups_only():
+def test_relay_opens_connections_for_its_own_groups_only():
     entries = [
         messages.Relay(f"vm-{i}", "a", f"10.0.0.{i}:1") for i in range(34)
     ]
     table = relays_module.RelayTable("vm-1", "a", 0.361, 13.5, lambda: 0.0)
     clock, targets = build(90, 0.361, link_mbps=13.5, relays=entries)
-    clock.pump([connection_prewarmer.TICK_S] * 12)
+    clock.pump([connection_prewarmer.INTERVAL_S] * 12)
     opened = {
         name
         for name, by_id in targets.items()
         if any(t.pool.opened for t in by_id.values())
     }
-    assert opened == find_own(table, tuple(targets), entries)
+    assert opened == list_own_services(table, tuple(targets), entries)
     assert len(opened) < 45
 
 
-def find_own(table, services, entries):
+def list_own_services(table, services, entries):
     groups = relays_module.divide_shards(
         sorted(services),
         relays_module.count_groups(90, 47.0, 0.361, 13.5),
--- a/chervilspindle/routing/endpoints.py
+++ b/chervilspindle/routing/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoints that this VM may send to, and choices among them."""
+"""Table of the endpoints this VM may send to, and selection among them."""
 
 import logging
 import math
@@ -12,14 +12,14 @@
 
 LOGGER = logging.getLogger(__name__)
 
-MIN_CONNECTIONS = 2  # with fewer, one silent connection stops an endpoint
+MIN_CONNECTIONS = 2  # one stalled connection must not block an endpoint
 MAX_CONNECTIONS = 12
-CONNECTION_SHARE = 0.8  # leaves room for VMs that control has not counted
+CONNECTION_SHARE = 0.8  # the rest is for VMs that control has not counted
 USABLE_STATES = ("ready", "warming")
 
 
 class Target(typing.NamedTuple):
-    """An endpoint with its connections and health."""
+    """An endpoint with its connection pool and its health."""
 
     endpoint: rows.Endpoint
     pool: endpoint_http.EndpointPool
@@ -28,7 +28,7 @@
 
 
 class EndpointTable:
-    """Endpoints by service, kept current from the replicated tables.
+    """Endpoints by service, updated from the replicated tables of control.
 
     Parameters
     ----------
@@ -36,10 +36,10 @@
     zone : str
         Zone of this VM.
     id_header : bytes
-        Lower-case name of the header that endpoints echo.
+        Lower-case name of the request id header, which endpoints echo.
     random : random.Random
     on_event : callable
-        ``on_event(name)`` for counters.
+        ``on_event(name)``, called to count connection events.
     """
 
     def __init__(self, loop, zone, id_header, random, on_event):
@@ -49,19 +49,25 @@
         self.random = random
         self.on_event = on_event
         self.vms = 1
-        self.revision = 0  # grows with each endpoint put or dropped
+        self.revision = 0  # incremented when an endpoint is put or dropped
         self.connections_by_service = {}
         self.target_by_id = {}
         self.targets_by_service = {}
 
     def put(self, endpoint: rows.Endpoint):
-        """Take in an endpoint as control knows it now."""
-        known = self.target_by_id.get(endpoint.endpoint_id)
+        """Add or update an endpoint; drop it if its state is not usable.
+
+        The connection pool and health are kept as long as the endpoint is
+        the same process.
+        """
+        current = self.target_by_id.get(endpoint.endpoint_id)
         if endpoint.state not in USABLE_STATES:
             self.drop(endpoint.endpoint_id, endpoint.state)
             return
-        if known is not None and _is_same_process(known.endpoint, endpoint):
-            target = known._replace(endpoint=endpoint)
+        if current is not None and _is_same_process(
+            current.endpoint, endpoint
+        ):
+            target = current._replace(endpoint=endpoint)
         else:
             self.drop(endpoint.endpoint_id, "replaced")
             target = self._build(endpoint)
@@ -77,7 +83,7 @@
         targets[endpoint.endpoint_id] = target
 
     def drop(self, endpoint_id: str, reason: str):
-        """Send nothing more to an endpoint; what runs there may end."""
+        """Remove an endpoint; requests in progress there may complete."""
         target = self.target_by_id.pop(endpoint_id, None)
         if target is None:
             return
@@ -87,13 +93,21 @@
         logs.log_decision("endpoint-dropped", endpoint=endpoint_id, why=reason)
 
     def retain(self, endpoint_ids):
-        """Drop all endpoints but the named ones."""
+        """Drop all endpoints except those with the given ids."""
         for endpoint_id in list(self.target_by_id):
             if endpoint_id not in endpoint_ids:
                 self.drop(endpoint_id, "unknown to control")
 
     def set_connections(self, connections_by_service, vms: int):
-        """Divide the connections that endpoints accept among the VMs."""
+        """Set how many connections endpoints accept, shared by the VMs.
+
+        Parameters
+        ----------
+        connections_by_service : dict of str to int
+            Connections that each endpoint of a service accepts.
+        vms : int
+            Number of VMs that share them.
+        """
         self.vms = max(1, vms)
         self.connections_by_service = connections_by_service
         for target in self.target_by_id.values():
@@ -101,16 +115,16 @@
             target.pool.max_connections = limit
 
     def count_endpoints(self, service: str) -> int:
-        """Return how many endpoints of a service may be sent to."""
+        """Return the number of usable endpoints of a service."""
         return len(self.targets_by_service.get(service, ()))
 
     def list_healths(self, service: str) -> list:
-        """Return what is known of the endpoints of a service."""
+        """Return the health of each endpoint of a service."""
         targets = self.targets_by_service.get(service, {})
         return [t.health for t in targets.values()]
 
     def has_free_slot(self, service: str, excluded) -> bool:
-        """Tell whether another endpoint would start a request at once."""
+        """Tell whether an endpoint not in `excluded` has a free slot."""
         now = self.loop.time()
         targets = self.targets_by_service.get(service, {})
         return any(
@@ -120,7 +134,11 @@
         )
 
     def choose(self, service: str, excluded=()) -> Target | None:
-        """Return the endpoint with the lowest cost, None without one."""
+        """Return the endpoint with the lowest cost, or None if none is left.
+
+        A random surcharge of up to 10 % spreads requests over endpoints of
+        similar cost.
+        """
         best = None
         best_cost = 0.0
         now = self.loop.time()
@@ -171,7 +189,7 @@
 
 
 def find_best_ms(targets) -> float:
-    """Return the least typical time of some endpoints, in ms."""
+    """Return the lowest typical response time of some endpoints, in ms."""
     best = math.inf
     for target in targets:
         typical = target.health.typical_ms
@@ -180,8 +198,8 @@
     return selection.FIRST_GUESS_MS if best == math.inf else best
 
 
-def _is_same_process(known, endpoint):
-    return (known.incarnation, known.address, known.service) == (
+def _is_same_process(current, endpoint):
+    return (current.incarnation, current.address, current.service) == (
         endpoint.incarnation,
         endpoint.address,
         endpoint.service,
--- a/chervilspindle/routing/process.py
+++ b/chervilspindle/routing/process.py
@@ -20,7 +20,7 @@
 from chervilspindle.core import logs
 from chervilspindle.core import loops
 from chervilspindle.core import timers as timers_module
-from chervilspindle.routing import connection_prewarmer as keeper_module
+from chervilspindle.routing import connection_prewarmer
 from chervilspindle.routing import contexts
 from chervilspindle.routing import entry as entry_module
 from chervilspindle.routing import forwarding
@@ -214,7 +214,7 @@
         self.context = context
         self.relay = relayed_query.RelayServer(context)
         self.entry = entry_module.RoutingEntry(context)
-        self.keeper = keeper_module.ConnectionKeeper(
+        self.prewarmer = connection_prewarmer.ConnectionPrewarmer(
             self.entry, self.timers, settings.vm_id, settings.core_share
         )
         self.follower = follower_module.Follower(
--- a/chervilspindle/routing/relayed_query_test.py
+++ b/chervilspindle/routing/relayed_query_test.py
@@ -296,7 +296,7 @@
 def test_refused_shard_is_retried_before_the_first_report(play):
     async def test(world):
         await world.warm()
-        # Raises the hedge time and with it the time of the first report.
+        # Hedges are now due after 170 ms, the first reports just before.
         world.entry.context.pace.usual_ms_by_route["all"] = 100.0
         for zone in "ab":
             world.backend_by_id[f"shard-00-{zone}"].work_s = 0.15
