--- a/chervilspindle/routing/process.py
+++ b/chervilspindle/routing/process.py
@@ -27,7 +27,7 @@
 from chervilspindle.routing import metrics as metrics_module
 from chervilspindle.routing import relayed_query
 from chervilspindle.routing import retry_budget
-from chervilspindle.routing import watch_client as follower_module
+from chervilspindle.routing import watch_client
 from chervilspindle.wire import http_server
 from chervilspindle.wire import messages
 from chervilspindle.wire import peer
@@ -217,8 +217,8 @@
         self.prewarmer = connection_prewarmer.ConnectionPrewarmer(
             self.entry, self.timers, settings.vm_id, settings.core_share
         )
-        self.follower = follower_module.Follower(
-            follower_module.Watcher(
+        self.watch_client = watch_client.WatchClient(
+            watch_client.EntryInfo(
                 settings.vm_id, settings.zone, settings.peer_address
             ),
             settings.seeds,
@@ -260,13 +260,13 @@
             lambda: CONTROL_LIMITS,
         )
         await self.listen_metrics()
-        self.follower.start()
+        self.watch_client.start()
         LOGGER.info("serving", extra={"role": "entry"})
 
     def reload(self, settings):
         """Take over changed settings."""
         self.settings = settings
-        self.follower.set_seeds(settings.seeds)
+        self.watch_client.set_seeds(settings.seeds)
 
     def stop(self):
         """Leave the balancer, end what is in progress, then stop."""
@@ -275,7 +275,7 @@
         self.stopping = True
         self.stopped_at = self.loop.time()
         self.entry.draining = True
-        self.follower.leave_relays()
+        self.watch_client.stop_relaying()
         self.front.start_closing()
         self.timers.subscribe("stop", STOP_CHECK_S, self._check_stop)
         LOGGER.info("draining", extra={"in_progress": self.front.count_busy()})
@@ -289,7 +289,7 @@
         if busy and elapsed < self.settings.grace_s - STOP_MARGIN_S:
             return
         self.timers.cancel("stop")
-        self.follower.stop()
+        self.watch_client.stop()
         if busy:
             LOGGER.warning("stopped with work", extra={"in_progress": busy})
         self.close()
--- a/chervilspindle/routing/watch_client.py
+++ b/chervilspindle/routing/watch_client.py
@@ -1,9 +1,9 @@
-"""Keeps an entry's copy of endpoints and document current.
+"""Keeps an entry's copy of the endpoints and the routing document current.
 
-The entry watches one control member and moves to another when that one
-does not answer or has not heard the leader. What it holds stays in force
-while no member can be reached: callers are served on, and an older document
-than the one held is never taken.
+The entry long-polls one control member and switches to another when that
+one does not answer or has lost contact with the leader. While no member can
+be reached, the entry keeps serving callers with the state it has. A reply
+with an older version than that state is never applied.
 """
 
 import logging
@@ -19,22 +19,22 @@
 
 LOGGER = logging.getLogger(__name__)
 
-CALL_TIMEOUT_S = 1.1  # longer than a member holds a call
-RETRY_S = 0.1
-FIRST_RETRY_S = 0.03  # callers wait for an entry that has nothing yet
-AGE_LIMIT_MS = 1500.0  # a member that elects a leader catches up meanwhile
-COUNT_FRESH_S = 2.0  # a member without a leader can't count for a while
-COUNT_MEMORY_S = 15.0  # a window of the retry budget, with a margin
+WATCH_TIMEOUT_S = 1.1  # longer than a member holds a call open
+RETRY_DELAY_S = 0.1
+INITIAL_RETRY_DELAY_S = 0.03  # callers are refused until the first reply
+MAX_MEMBER_AGE_MS = 1500.0  # a leader election ends within this time
+TOTALS_FRESH_S = 2.0  # a member without a leader sends no totals for a while
+TOTALS_WINDOW_S = 15.0  # the retry budget's window, with a margin
 
 
-class Watcher(typing.NamedTuple):
-    """What an entry tells of itself.
+class EntryInfo(typing.NamedTuple):
+    """What an entry reports about itself to control.
 
     Parameters
     ----------
     vm_id, zone : str
     relay_address : str
-        Where it gathers shards for others; empty if it does not.
+        Address at which it serves as a relay; empty if it does not.
     """
 
     vm_id: str
@@ -42,113 +42,115 @@
     relay_address: str = ""
 
 
-class Follower:
-    """Watches control for one entry.
+class WatchClient:
+    """Watches control on behalf of one entry.
 
     Parameters
     ----------
-    watcher : Watcher
+    entry_info : EntryInfo
     seeds : tuple of str
         Peer addresses at which members may be found.
     call : callable
         ``call(address, message, timeout_s)`` returns a Deferred.
     timers : TimerService
-    take_delta : callable
-        ``take_delta(delta)`` puts rows in force.
-    take_count : callable
-        ``take_count(watchers, requests)`` gets the number of entries and
+    on_delta : callable
+        ``on_delta(delta)`` applies changed rows.
+    on_totals : callable
+        ``on_totals(watchers, requests)`` receives the number of entries and
         the sum of their requests.
     read_requests : callable
-        Returns what this entry reports as its requests.
-    take_relays : callable
-        ``take_relays(mark, relays)``.
+        Returns the number of requests that this entry reports.
+    on_relays : callable
+        ``on_relays(fingerprint, relays)`` receives a changed relay list.
     seed : str
-        Spreads entries over members.
+        Seed of the random choice of members, which spreads entries over
+        them.
     """
 
     def __init__(
         self,
-        watcher,
+        entry_info,
         seeds,
         call,
         timers,
-        take_delta,
-        take_count,
+        on_delta,
+        on_totals,
         read_requests,
-        take_relays,
+        on_relays,
         seed=None,
     ):
-        self.watcher = watcher
+        self.entry_info = entry_info
         self.seeds = tuple(seeds)
         self.call = call
         self.timers = timers
-        self.take_delta = take_delta
-        self.take_count = take_count
+        self.on_delta = on_delta
+        self.on_totals = on_totals
         self.read_requests = read_requests
-        self.take_relays = take_relays
-        self.known_relays = 0
+        self.on_relays = on_relays
+        self.relays_fingerprint = 0
         self.random = random.Random(seed)
         self.addresses = ()
-        self.member = None
+        self.member_address = None
         self.failed_s_by_address = {}
         self.version = 0
-        self.in_touch = False
-        self.counts = []
+        self.is_connected = False
+        self.totals = []
         self.stopped = False
 
     def start(self):
-        """Start watching."""
+        """Send the first watch call."""
         self._watch()
 
     def stop(self):
-        """Ask for nothing more."""
+        """Send no further watch calls."""
         self.stopped = True
 
-    def leave_relays(self):
-        """Gather for no other entry; told with the next call."""
-        self.watcher = self.watcher._replace(relay_address="")
+    def stop_relaying(self):
+        """Report with the next call that this entry is no longer a relay."""
+        self.entry_info = self.entry_info._replace(relay_address="")
 
     def set_seeds(self, seeds):
-        """Take over seeds from changed settings."""
+        """Replace the seeds, after a change of settings."""
         self.seeds = tuple(seeds)
 
     def _watch(self):
         if self.stopped:
             return
-        if self.member is None:
-            self.member = self._pick()
-        watcher = self.watcher
+        if self.member_address is None:
+            self.member_address = self._pick_member()
+        entry_info = self.entry_info
         message = messages.WatchCall(
-            watcher.vm_id,
+            entry_info.vm_id,
             self.version,
             self.read_requests(),
-            watcher.zone,
-            watcher.relay_address,
-            self.known_relays,
+            entry_info.zone,
+            entry_info.relay_address,
+            self.relays_fingerprint,
         )
         deferred = defer.maybeDeferred(
-            self.call, self.member, message, CALL_TIMEOUT_S
+            self.call, self.member_address, message, WATCH_TIMEOUT_S
         )
-        deferred.addCallback(self._take_reply)
-        deferred.addErrback(self._call_failed)
+        deferred.addCallback(self._handle_reply)
+        deferred.addErrback(self._handle_failure)
 
-    def _pick(self):
-        """Return a member that never failed, or failed the longest ago.
+    def _pick_member(self):
+        """Return the member that failed least recently, if it ever failed.
 
-        With two members out of reach, a choice at random could try them
-        again and again for longer than a change may take to be in force.
+        With two members unreachable, a purely random choice could keep
+        trying them for longer than a change may take to be applied.
         """
-        known = sorted({*self.seeds, *self.addresses})
-        self.random.shuffle(known)
+        candidates = sorted({*self.seeds, *self.addresses})
+        self.random.shuffle(candidates)
         return min(
-            known, key=lambda a: self.failed_s_by_address.get(a, -math.inf)
+            candidates,
+            key=lambda a: self.failed_s_by_address.get(a, -math.inf),
         )
 
-    def _take_reply(self, reply):
+    def _handle_reply(self, reply):
         self.addresses = reply.addresses or self.addresses
-        if reply.age_ms > AGE_LIMIT_MS:
-            # A member that has just restarted knows only its last snapshot.
-            self._move_on("member has no leader")
+        if reply.age_ms > MAX_MEMBER_AGE_MS:
+            # A member that has just restarted has only its last snapshot.
+            self._switch_member("member has no leader")
             return
         delta = messages.decode_delta(reply.delta)
         if delta.version < self.version:
@@ -156,51 +158,59 @@
                 "control is older than what it said before",
                 extra={"held": self.version, "offered": delta.version},
             )
-            self._move_on("member is older than the entry")
+            self._switch_member("member is older than the entry")
             return
-        self.take_delta(delta)
+        self.on_delta(delta)
         self.version = delta.version
-        self._note_count(reply.watchers, reply.requests)
+        self._record_totals(reply.watchers, reply.requests)
         if reply.relays is not None:
-            self.known_relays = reply.relays.mark
-            self.take_relays(*reply.relays)
-        if not self.in_touch:
-            self.in_touch = True
+            self.relays_fingerprint = reply.relays.mark
+            self.on_relays(*reply.relays)
+        if not self.is_connected:
+            self.is_connected = True
             logs.log_decision(
-                "control-reached", member=self.member, version=self.version
+                "control-reached",
+                member=self.member_address,
+                version=self.version,
             )
         self.timers.call_later(0.0, self._watch)
 
-    def _call_failed(self, failure):
+    def _handle_failure(self, failure):
         if failure.check(errors.ProblemError):
-            self._move_on(failure.value.problem.detail)
+            self._switch_member(failure.value.problem.detail)
             return
-        LOGGER.error("watching failed: %s", failure.getTraceback())
-        self._move_on("internal error")
+        LOGGER.error("watch call failed: %s", failure.getTraceback())
+        self._switch_member("internal error")
 
-    def _move_on(self, reason):
-        if self.in_touch:
-            self.in_touch = False
+    def _switch_member(self, reason):
+        if self.is_connected:
+            self.is_connected = False
             logs.log_decision(
                 "control-lost",
-                member=self.member,
+                member=self.member_address,
                 version=self.version,
                 why=reason,
             )
-        self.failed_s_by_address[self.member] = self.timers.clock.seconds()
-        self.member = self._pick()
-        delay = RETRY_S if self.version else FIRST_RETRY_S
+        self.failed_s_by_address[self.member_address] = (
+            self.timers.clock.seconds()
+        )
+        self.member_address = self._pick_member()
+        delay = RETRY_DELAY_S if self.version else INITIAL_RETRY_DELAY_S
         self.timers.call_later(delay, self._watch)
 
-    def _note_count(self, watchers, requests):
-        """Pass on the most that was counted within a while."""
+    def _record_totals(self, watchers, requests):
+        """Pass on the highest totals of the last `TOTALS_WINDOW_S`.
+
+        Requests are passed on as 0, for unknown, when no totals arrived
+        within `TOTALS_FRESH_S`.
+        """
         now = self.timers.clock.seconds()
         if watchers > 0:
-            self.counts.append((now, watchers, requests))
-        self.counts = [c for c in self.counts if now - c[0] < COUNT_MEMORY_S]
-        if self.counts:
-            is_fresh = now - self.counts[-1][0] < COUNT_FRESH_S
-            self.take_count(
-                max(c[1] for c in self.counts),
-                max(c[2] for c in self.counts) if is_fresh else 0,
+            self.totals.append((now, watchers, requests))
+        self.totals = [t for t in self.totals if now - t[0] < TOTALS_WINDOW_S]
+        if self.totals:
+            is_fresh = now - self.totals[-1][0] < TOTALS_FRESH_S
+            self.on_totals(
+                max(t[1] for t in self.totals),
+                max(t[2] for t in self.totals) if is_fresh else 0,
             )
