--- a/chervilspindle/routing/process.py
+++ b/chervilspindle/routing/process.py
@@ -1,7 +1,8 @@
 """Processes of a routed deployment: entries and control members.
 
-Entries follow control and send to endpoints themselves. Control members
-keep the log, the endpoints' announcements and the routing document.
+Entries accept requests of callers and send them to endpoints; they watch
+control for changes. Control members keep the replicated log, the endpoints'
+announcements and the routing document.
 """
 
 from collections import abc
@@ -35,12 +36,12 @@
 
 LOGGER = logging.getLogger(__name__)
 
-GROUP = "routing"
+GROUP_NAME = "routing"
 BACKLOG = 512
-NOTICE_S = 2.6  # a balancer that polls each second has noticed twice
-STOP_MARGIN_S = 0.6  # before the platform kills the process
-STOP_CHECK_S = 0.05
-SETTINGS_CHECK_S = 2.0
+DRAIN_NOTICE_S = 2.6  # a balancer polling every second has failed twice
+STOP_MARGIN_S = 0.6  # between stopping and the platform's SIGKILL
+STOP_CHECK_INTERVAL_S = 0.05
+SETTINGS_CHECK_INTERVAL_S = 2.0
 CONTROL_LIMITS = http_server.ServerLimits(16384, 4194304, 5000.0, 30000.0)
 
 EXIT_OK = 0
@@ -54,27 +55,29 @@
     ----------
     vm_id, zone : str
     peer_address : str
-        ``IP:PORT`` for links between the system's processes.
+        ``IP:PORT`` for links between processes of the system.
     metrics_address : str
     seeds : tuple of str
         Peer addresses of some control members.
     shared_key : str
-        Authenticates links between the system's processes.
+        Authenticates links between processes of the system.
     entry_address, ready_address : str
-        Where callers and the balancer's checks come in; empty for a process
-        that is no entry.
+        Where requests of callers and the balancer's readiness checks are
+        accepted; empty for a process that is not an entry.
     control_address : str
-        Where endpoints and operators come in; empty for a process that is
-        no control member.
+        Where calls of endpoints and operators are accepted; empty for a
+        process that is not a control member.
     data_folder : str
     first_start : bool
-        Whether the whole system starts for the first time.
+        Whether the whole system starts for the first time, so that the
+        first seed may bootstrap the Raft group.
     voters : int
+        Number of voting members of the Raft group.
     budget : retry_budget.Rule
     grace_s : float
         Time between SIGTERM and SIGKILL.
     core_share : float
-        Part of a core that the process may use.
+        Share of a CPU core that the process may use.
     link_mbps : float
         Bandwidth of the VM's link, in Mbit/s.
     """
@@ -98,7 +101,7 @@
 
 
 class Adapter(typing.NamedTuple):
-    """What a platform brings: its names and formats.
+    """Platform-specific names, formats and handlers.
 
     Parameters
     ----------
@@ -107,9 +110,9 @@
     decode_document : callable
         ``decode_document(data)`` returns a `documents.Document`.
     build_control_handler : callable
-        ``build_control_handler(desk)`` returns a handler of exchanges.
+        ``build_control_handler(desk)`` returns a handler of HTTP exchanges.
     read_settings : callable
-        Returns the `RoutingSettings` in force.
+        Reads and returns the current `RoutingSettings`.
     """
 
     names: forwarding.HeaderNames
@@ -120,7 +123,7 @@
 
 
 class Process:
-    """Parts that entries and control members share.
+    """Base of entry and control processes.
 
     Parameters
     ----------
@@ -128,7 +131,7 @@
     settings : RoutingSettings
     adapter : Adapter
     stop_reactor : callable
-        ``stop_reactor(code)``.
+        ``stop_reactor(code)`` stops the reactor and sets the exit code.
     """
 
     def __init__(self, reactor, loop, clock, settings, adapter, stop_reactor):
@@ -149,13 +152,13 @@
         self.stopping = False
 
     def handle(self, link, message):
-        """Answer a message of another process."""
+        """Handle a message from another process and return the answer."""
         raise errors.build_error(
-            errors.ErrorKind.NO_LEADER, "this process is not control"
+            errors.ErrorKind.NO_LEADER, "this process is not a control member"
         )
 
     async def listen(self, name, address, handler, read_limits):
-        """Serve HTTP at an address."""
+        """Start an HTTP server at an address."""
         server = http_server.HttpServer(
             self.loop, self.timers, name, handler, read_limits
         )
@@ -164,7 +167,7 @@
         return server
 
     async def listen_metrics(self):
-        """Serve counters and histograms."""
+        """Start the server of counters and histograms."""
         await self.listen(
             "metrics",
             self.settings.metrics_address,
@@ -182,7 +185,7 @@
         exchange.respond(200, packed, body)
 
     def close(self):
-        """Close everything and stop."""
+        """Close servers, links and timers, and stop the reactor."""
         for server in self.servers:
             server.stop()
         self.network.close()
@@ -192,7 +195,7 @@
 
 
 class EntryProcess(Process):
-    """Serves callers."""
+    """An entry: serves callers, and other entries as a relay."""
 
     def __init__(self, *args):
         super().__init__(*args)
@@ -224,16 +227,16 @@
             settings.seeds,
             self.network.call,
             self.timers,
-            self._take_delta,
-            self._take_count,
+            self._apply_delta,
+            self._update_totals,
             self.context.budget.read_requests,
             context.relays.table.set_relays,
         )
-        self.front = None
-        self.stopped_at = None
+        self.caller_server = None
+        self.drain_started_s = None
 
     def handle(self, link, message):
-        """Take a message of another entry."""
+        """Handle a message from another entry."""
         if isinstance(message, messages.RelayReport):
             client = self.context.relays
             client.handle_report(link.dialled_address, message)
@@ -243,11 +246,11 @@
             super().handle(link, message)
 
     async def start(self):
-        """Listen and follow control."""
+        """Start the servers and watch control."""
         settings = self.settings
         listening = self.network.listen(settings.peer_address)
         await listening.asFuture(self.loop)
-        self.front = await self.listen(
+        self.caller_server = await self.listen(
             "front",
             settings.entry_address,
             self.entry.handle,
@@ -264,34 +267,44 @@
         LOGGER.info("serving", extra={"role": "entry"})
 
     def reload(self, settings):
-        """Take over changed settings."""
+        """Apply changed settings."""
         self.settings = settings
         self.watch_client.set_seeds(settings.seeds)
 
     def stop(self):
-        """Leave the balancer, end what is in progress, then stop."""
+        """Drain and stop.
+
+        Readiness checks fail from now on. The process stops once the
+        balancer had time to notice and requests in progress have ended, at
+        the latest `STOP_MARGIN_S` before the end of the grace period.
+        """
         if self.stopping:
             return
         self.stopping = True
-        self.stopped_at = self.loop.time()
+        self.drain_started_s = self.loop.time()
         self.entry.draining = True
         self.watch_client.stop_relaying()
-        self.front.start_closing()
-        self.timers.subscribe("stop", STOP_CHECK_S, self._check_stop)
-        LOGGER.info("draining", extra={"in_progress": self.front.count_busy()})
+        self.caller_server.start_closing()
+        self.timers.subscribe("stop", STOP_CHECK_INTERVAL_S, self._check_stop)
+        LOGGER.info(
+            "draining", extra={"in_progress": self.caller_server.count_busy()}
+        )
 
     def _check_stop(self):
-        elapsed = self.loop.time() - self.stopped_at
-        if elapsed < NOTICE_S:
+        elapsed = self.loop.time() - self.drain_started_s
+        if elapsed < DRAIN_NOTICE_S:
             return
-        self.front.close_idle()
-        busy = self.front.count_busy() + self.relay.count_busy()
+        self.caller_server.close_idle()
+        busy = self.caller_server.count_busy() + self.relay.count_busy()
         if busy and elapsed < self.settings.grace_s - STOP_MARGIN_S:
             return
         self.timers.cancel("stop")
         self.watch_client.stop()
         if busy:
-            LOGGER.warning("stopped with work", extra={"in_progress": busy})
+            LOGGER.warning(
+                "stopped with requests in progress",
+                extra={"in_progress": busy},
+            )
         self.close()
 
     def _answer_ready(self, exchange):
@@ -300,7 +313,7 @@
             return
         exchange.respond(200 if self.entry.is_ready() else 503)
 
-    def _take_delta(self, delta):
+    def _apply_delta(self, delta):
         table = self.context.table
         for endpoint in delta.endpoints:
             table.put(endpoint)
@@ -310,24 +323,24 @@
             table.retain({e.endpoint_id for e in delta.endpoints})
             loops.settle_memory()
         if delta.document is not None and delta.document.version >= 0:
-            self._take_document(delta.document)
+            self._apply_document(delta.document)
 
-    def _take_document(self, stored):
+    def _apply_document(self, stored):
         document = self.adapter.decode_document(stored.data)
         if self.entry.put_document(document):
             self.context.relays.table.put_document(document)
-            self._share_connections()
+            self._update_connection_limits()
 
-    def _take_count(self, vms, requests):
+    def _update_totals(self, vms, requests):
         budget = self.context.budget
-        known_vms = budget.vms
+        previous_vms = budget.vms
         budget.note_total(vms, requests)
         rate = requests / budget.rule.window_s if vms else None
         self.context.relays.table.set_query_rate(rate)
-        if vms != known_vms:
-            self._share_connections()
+        if vms != previous_vms:
+            self._update_connection_limits()
 
-    def _share_connections(self):
+    def _update_connection_limits(self):
         document = self.entry.document
         if document is None:
             return
@@ -340,7 +353,7 @@
 
 
 class ControlProcess(Process):
-    """Keeps the replicated state."""
+    """A control member: replicates the state and serves its clients."""
 
     def __init__(self, *args):
         super().__init__(*args)
@@ -352,7 +365,7 @@
             settings.peer_address,
             {},
             storage,
-            self._send_replica,
+            self._send_raft_message,
             self.timers,
             read_clock,
             lambda: self.stop_reactor(EXIT_STORAGE),
@@ -360,7 +373,7 @@
             voters=settings.voters,
         )
         if settings.first_start and settings.peer_address == settings.seeds[0]:
-            initialise_group(self.node, storage)
+            bootstrap_group(self.node, storage)
         self.desk = desk_module.Desk(
             self.node, self.network, self.timers, read_clock
         )
@@ -369,7 +382,7 @@
         )
 
     async def start(self):
-        """Recover from the disk and listen."""
+        """Recover the state from disk and start the servers."""
         self.node.start()
         listening = self.network.listen(self.settings.peer_address)
         await listening.asFuture(self.loop)
@@ -383,22 +396,22 @@
         LOGGER.info("serving", extra={"role": "control"})
 
     def reload(self, settings):
-        """Take over changed settings."""
+        """Apply changed settings."""
         self.settings = settings
         self.node.seeds = settings.seeds
 
     def stop(self):
-        """Answer what is in progress, then stop."""
+        """Finish requests in progress, then stop."""
         if self.stopping:
             return
         self.stopping = True
         LOGGER.info("stopping")
         for server in self.servers:
             server.start_closing()
-        self.timers.call_later(0.2, self._end)
+        self.timers.call_later(0.2, self._finish_stop)
 
     def handle(self, link, message):
-        """Answer a message of another process."""
+        """Handle a message from another process and return the answer."""
         if isinstance(message, messages.Replicate):
             self.node.receive(message.data, message.address)
             return None
@@ -406,17 +419,17 @@
             return self.watch.watch(message)
         return self.desk.answer(message)
 
-    def _send_replica(self, address, data):
+    def _send_raft_message(self, address, data):
         message = messages.Replicate(data, self.settings.peer_address)
         self.network.send(address, message)
 
-    def _end(self):
+    def _finish_stop(self):
         self.node.stop()
         self.close()
 
 
 def open_storage(settings: RoutingSettings):
-    """Open the data folder, under a new identity if it is empty.
+    """Open the data folder; create an identity if it has none.
 
     Returns
     -------
@@ -430,14 +443,17 @@
     identity = storage_module.load_identity(folder)
     if identity is None:
         identity = storage_module.create_identity(
-            folder, GROUP, settings.vm_id
+            folder, GROUP_NAME, settings.vm_id
         )
         LOGGER.info("new disk", extra={"member": identity.member_id})
     return storage_module.Storage(folder), identity
 
 
-def initialise_group(node, storage):
-    """Make this member the first voter of a new group, once."""
+def bootstrap_group(node, storage):
+    """Make this member the first voter of a new group.
+
+    Does nothing if the storage already holds a log or a snapshot.
+    """
     recovered = storage.recover()
     if recovered.log or recovered.snapshot.mark.index:
         storage.close()
@@ -449,46 +465,54 @@
 
 
 def run(reactor, loop, clock, adapter: Adapter) -> int:
-    """Run a process until it is told to stop.
+    """Run a process until it is stopped by a signal or a failure.
 
     Returns
     -------
     int
-        Exit code: 0 after a clean shutdown, 3 if the disk failed.
+        Exit code: 0 after a clean shutdown, 3 if the disk or the start
+        failed.
     """
-    codes = [EXIT_OK]
+    exit_codes = [EXIT_OK]
 
     def stop_reactor(code):
-        codes[0] = code
+        exit_codes[0] = code
         if reactor.running:
             reactor.callLater(0, reactor.stop)
 
     settings = adapter.read_settings()
-    kind = EntryProcess if settings.entry_address else ControlProcess
+    process_class = EntryProcess if settings.entry_address else ControlProcess
     try:
-        process = kind(reactor, loop, clock, settings, adapter, stop_reactor)
+        process = process_class(
+            reactor, loop, clock, settings, adapter, stop_reactor
+        )
     except (storage_module.StorageError, OSError) as error:
-        LOGGER.error("disk can't be used: %s", error)
+        LOGGER.error("data folder cannot be opened: %s", error)
         return EXIT_STORAGE
 
     def reload():
         try:
-            fresh = adapter.read_settings()
+            new_settings = adapter.read_settings()
         except (OSError, ValueError) as error:
-            LOGGER.error("settings not read", extra={"why": str(error)})
+            LOGGER.error(
+                "settings cannot be read, keeping the old ones",
+                extra={"why": str(error)},
+            )
             return
-        if fresh != process.settings:
-            LOGGER.info("settings changed", extra={"seeds": fresh.seeds})
-            process.reload(fresh)
+        if new_settings != process.settings:
+            LOGGER.info(
+                "settings changed", extra={"seeds": new_settings.seeds}
+            )
+            process.reload(new_settings)
 
-    def report(failure):
+    def on_start_failed(failure):
         LOGGER.error("start failed: %s", failure.getTraceback())
         stop_reactor(EXIT_STORAGE)
 
     def start():
         starting = defer.Deferred.fromFuture(loop.create_task(process.start()))
-        starting.addErrback(report)
-        process.timers.subscribe("settings", SETTINGS_CHECK_S, reload)
+        starting.addErrback(on_start_failed)
+        process.timers.subscribe("settings", SETTINGS_CHECK_INTERVAL_S, reload)
         loops.settle_memory()
 
     loop.add_signal_handler(signal.SIGTERM, process.stop)
@@ -496,4 +520,4 @@
     loop.add_signal_handler(signal.SIGHUP, reload)
     reactor.callWhenRunning(start)
     reactor.run(installSignalHandlers=False)
-    return codes[0]
+    return exit_codes[0]
