--- a/chervilspindle/routing/documents.py
+++ b/chervilspindle/routing/documents.py
@@ -1,22 +1,22 @@
-"""Routing documents: a whole configuration of routes under one version.
+"""Routing documents: the complete configuration of routes at one version.
 
-A document is immutable. Checks return errors as data; a document with any
-error is never put in force.
+A document is immutable. Validation returns errors as data; a document with
+any error is never applied.
 """
 
 import typing
 
 
 class Limits(typing.NamedTuple):
-    """Bounds on what a caller may send and how long it may take.
+    """Limits on the size and timing of callers' requests.
 
     Parameters
     ----------
     header_bytes, body_bytes : int
     header_ms : float
-        Time within which the header of a request has to arrive.
+        Maximum time until the header of a request has arrived.
     idle_ms : float
-        Time for which a connection may stay without a request.
+        Maximum time that a connection may stay idle.
     """
 
     header_bytes: int = 16384
@@ -26,14 +26,14 @@
 
 
 class Service(typing.NamedTuple):
-    """A service that routes may name.
+    """A service that routes may refer to.
 
     Parameters
     ----------
     name : str
     health_path : str
     connections : int
-        Connections that each endpoint accepts from all callers together.
+        Connections that each endpoint accepts from all clients together.
     """
 
     name: str
@@ -42,36 +42,37 @@
 
 
 class WeightedService(typing.NamedTuple):
-    """One alternative of a route and its share of the requests."""
+    """An alternative of a route and its relative share of the requests."""
 
     service: str
     weight: float
 
 
 class Route(typing.NamedTuple):
-    """Where requests of one host and path prefix go.
+    """Destination of the requests for one host and path prefix.
 
     Parameters
     ----------
     name, host, prefix : str
     idempotent : bool
-        Whether a request may run more than once.
+        Whether a request may be executed more than once.
     timeout_ms : float
-        Longest time that a request is kept waiting.
+        Maximum time until a request is answered.
     objective_ms : float
         Latency objective; 0 if the route has none.
     priority : int
-        Rank among routes, 0 is the most urgent.
+        Rank among routes; 0 is the most urgent.
     max_attempts : int
-        Endpoints that one request, or one shard of it, may run on.
+        Maximum number of endpoints that execute a request, or one shard of
+        it.
     alternatives : tuple of WeightedService
         One service in most cases; empty for a fan-out route.
     shards : tuple of str
-        Services that all answer a fan-out request.
+        Services that a fan-out request is sent to; one per shard.
     top_k : int
-        Records in the answer of a fan-out request.
+        Number of records in the answer to a fan-out request.
     min_coverage : float
-        Least share of the shards in an answer, in [0, 1].
+        Minimum share of the shards that an answer covers, in [0, 1].
     """
 
     name: str
@@ -98,52 +99,60 @@
 
 
 class DocumentError(typing.NamedTuple):
-    """One reason to refuse a document, and where it was found."""
+    """A reason to reject a document, and the route that it concerns."""
 
     place: str
     message: str
 
 
 def check_document(document: Document) -> tuple[DocumentError, ...]:
-    """Return all errors of a document, none if it may be put in force."""
+    """Return all errors of a document, empty if it may be applied."""
     errors = []
-    place_by_key = {}
+    route_name_by_key = {}
     for route in document.routes:
         key = (route.host, route.prefix)
-        if key in place_by_key:
-            text = f"same host and prefix as {place_by_key[key]}"
+        if key in route_name_by_key:
+            text = f"same host and prefix as {route_name_by_key[key]}"
             errors.append(DocumentError(route.name, text))
-        place_by_key[key] = route.name
+        route_name_by_key[key] = route.name
         errors.extend(_check_route(route, document.service_by_name))
     return tuple(errors)
 
 
 def _check_route(route: Route, service_by_name):
     if not route.prefix.startswith("/") or not route.prefix.endswith("/"):
-        yield DocumentError(route.name, "prefix has no slash at either end")
+        yield DocumentError(
+            route.name, "prefix must start and end with a slash"
+        )
     if route.timeout_ms <= 0:
-        yield DocumentError(route.name, "timeout is not positive")
+        yield DocumentError(route.name, "timeout must be positive")
     if route.max_attempts < 1:
-        yield DocumentError(route.name, "no attempt is allowed")
-    named = [a.service for a in route.alternatives] + list(route.shards)
-    if not named:
-        yield DocumentError(route.name, "names no service")
+        yield DocumentError(route.name, "at least one attempt must be allowed")
+    services = [a.service for a in route.alternatives] + list(route.shards)
+    if not services:
+        yield DocumentError(route.name, "route has no service")
     if route.alternatives and route.shards:
-        yield DocumentError(route.name, "both forwards and fans out")
-    for name in named:
+        yield DocumentError(
+            route.name, "route has both alternatives and shards"
+        )
+    for name in services:
         if name not in service_by_name:
             yield DocumentError(route.name, f"unknown service {name}")
     weights = [a.weight for a in route.alternatives]
     if weights and (min(weights) < 0 or sum(weights) <= 0):
-        yield DocumentError(route.name, "weights do not add up")
+        yield DocumentError(
+            route.name, "weights must be non-negative and not all zero"
+        )
     if len(set(route.shards)) < len(route.shards):
-        yield DocumentError(route.name, "names a shard twice")
+        yield DocumentError(route.name, "route lists a shard twice")
     if not 0 <= route.min_coverage <= 1:
-        yield DocumentError(route.name, "coverage is not a share")
+        yield DocumentError(
+            route.name, "minimum coverage must be between 0 and 1"
+        )
 
 
 class RouteTable:
-    """Finds the route of a request.
+    """Index of the routes of a document by host.
 
     Parameters
     ----------
@@ -159,7 +168,7 @@
             routes.sort(key=lambda r: len(r.prefix), reverse=True)
 
     def match(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix, None without one."""
+        """Return the route with the longest matching prefix, or None."""
         for route in self.routes_by_host.get(host, ()):
             if path.startswith(route.prefix):
                 return route
--- a/chervilspindle/routing/documents_test.py
+++ b/chervilspindle/routing/documents_test.py
@@ -24,11 +24,11 @@
 
 
 def list_messages(*routes):
-    found = documents.check_document(build_document(*routes))
-    return [error.message for error in found]
+    errors = documents.check_document(build_document(*routes))
+    return [error.message for error in errors]
 
 
-def test_the_longest_prefix_of_the_host_wins():
+def test_longest_matching_prefix_of_the_host_is_chosen():
     table = documents.RouteTable(
         build_document(
             build_route("short", prefix="/a/"),
@@ -42,7 +42,7 @@
     assert table.match("three.example", "/a/b/") is None
 
 
-def test_a_proper_document_has_no_errors():
+def test_valid_document_has_no_errors():
     fan_out = build_route(
         "f",
         prefix="/f/",
@@ -54,8 +54,8 @@
     assert list_messages(build_route(), fan_out) == []
 
 
-def test_errors_are_found():
-    weightless = (
+def test_invalid_documents_have_errors():
+    zero_weights = (
         documents.WeightedService("a", 0.0),
         documents.WeightedService("b", 0.0),
     )
@@ -64,18 +64,20 @@
         "same host and prefix as p"
     ]
     assert list_messages(build_route(timeout_ms=0.0)) == [
-        "timeout is not positive"
+        "timeout must be positive"
     ]
-    assert list_messages(build_route(alternatives=weightless)) == [
-        "weights do not add up"
+    assert list_messages(build_route(alternatives=zero_weights)) == [
+        "weights must be non-negative and not all zero"
     ]
     assert list_messages(build_route(alternatives=unknown)) == [
         "unknown service x"
     ]
-    assert list_messages(build_route(alternatives=())) == ["names no service"]
+    assert list_messages(build_route(alternatives=())) == [
+        "route has no service"
+    ]
     assert list_messages(build_route(alternatives=(), shards=("a", "a"))) == [
-        "names a shard twice"
+        "route lists a shard twice"
     ]
     assert list_messages(build_route(prefix="r")) == [
-        "prefix has no slash at either end"
+        "prefix must start and end with a slash"
     ]
