--- a/chervilspindle/routing/process.py
+++ b/chervilspindle/routing/process.py
@@ -38,7 +38,7 @@
 
 GROUP_NAME = "routing"
 BACKLOG = 512
-DRAIN_NOTICE_S = 2.6  # a balancer polling every second has failed twice
+DRAIN_NOTICE_S = 2.6  # two failed checks of a balancer that polls each second
 STOP_MARGIN_S = 0.6  # between stopping and the platform's SIGKILL
 STOP_CHECK_INTERVAL_S = 0.05
 SETTINGS_CHECK_INTERVAL_S = 2.0
@@ -105,12 +105,12 @@
 
     Parameters
     ----------
-    names : forwarding.HeaderNames
+    names : endpoint_calls.HeaderNames
     ready_path : bytes
     decode_document : callable
         ``decode_document(data)`` returns a `documents.Document`.
     build_control_handler : callable
-        ``build_control_handler(desk)`` returns a handler of HTTP exchanges.
+        ``build_control_handler(frontend)`` returns an HTTP handler.
     read_settings : callable
         Reads and returns the current `RoutingSettings`.
     """
--- a/chervilspindle/routing/relayed_query.py
+++ b/chervilspindle/routing/relayed_query.py
@@ -23,7 +23,7 @@
 class RelayedDispatch:
     """Shards of a query that were sent through a relay.
 
-    Has the same interface as `parts_query.PartsQuery`.
+    Has the same interface as `direct_dispatch.DirectDispatch`.
 
     Attributes
     ----------
@@ -111,7 +111,7 @@
         services : tuple of str
         tried : tuple of tuple of str
             Endpoints to which each shard was sent before; may be empty.
-        message : forwarding.Message
+        message : endpoint_calls.RequestTemplate
         request : messages.RelayedRequest
         listener
             Receives ``on_part_set(dispatch, part_set, usual_ms)``,
@@ -165,7 +165,7 @@
 
     Parameters
     ----------
-    context : forwarding.Context
+    context : endpoint_calls.Context
     """
 
     def __init__(self, context):
@@ -239,7 +239,7 @@
         self.dispatch.cancel()
         self._close()
 
-    # Listener methods called by the parts query.
+    # Listener methods called by the dispatch.
 
     def on_endpoint_chosen(self, dispatch, service, endpoint_id):
         self.endpoint_by_service[service] = endpoint_id
