--- a/chervilspindle/routing/contexts.py
+++ b/chervilspindle/routing/contexts.py
@@ -6,8 +6,8 @@
 from chervilspindle.routing import endpoint_calls
 from chervilspindle.routing import endpoints
 from chervilspindle.routing import overload
-from chervilspindle.routing import relaying
-from chervilspindle.routing import relays
+from chervilspindle.routing import relay_selection
+from chervilspindle.routing import relayed_query
 from chervilspindle.routing import retry_budget
 
 
@@ -61,7 +61,7 @@
         generator,
         metrics.count_event,
     )
-    relay_table = relays.RelayTable(
+    relay_table = relay_selection.RelayTable(
         profile.vm_id,
         profile.zone,
         profile.core_share,
@@ -76,6 +76,6 @@
         endpoint_calls.LatencyEstimates(profile.core_share, profile.link_mbps),
         metrics,
         generator,
-        relaying.RelayClient(network, relay_table),
+        relayed_query.RelayClient(network, relay_table),
         overload.Shedder(generator),
     )
--- a/chervilspindle/routing/direct_dispatch.py
+++ b/chervilspindle/routing/direct_dispatch.py
@@ -46,7 +46,7 @@
             target = table.choose(service, tried_by_service.get(service, ()))
             if target is None:
                 loss = messages.Loss(service, "", "no_endpoint", False)
-                self.listener.lose_part(self, loss)
+                self.listener.on_part_lost(self, loss)
                 continue
             endpoint_id = target.endpoint.endpoint_id
             call = endpoint_calls.build_call(
@@ -59,7 +59,7 @@
             )
             call.context = (service, target)
             self.call_by_service[service] = call
-            self.listener.note_endpoint(self, service, endpoint_id)
+            self.listener.on_endpoint_chosen(self, service, endpoint_id)
             target.pool.submit(call)
 
     def awaits_report(self) -> bool:
@@ -93,11 +93,11 @@
         if outcome.succeeded:
             took_ms = (context.loop.time() - call.sent_s) * 1000.0
             stamp = answer.get_header(context.names.lower.stamp)
-            self.listener.take_part(self, service, stamp, answer.body, took_ms)
+            self.listener.on_part(self, service, stamp, answer.body, took_ms)
             return
         context.metrics.count_failure(outcome.reason)
         endpoint_id = target.endpoint.endpoint_id
         loss = messages.Loss(
             service, endpoint_id, outcome.reason, outcome.may_have_run
         )
-        self.listener.lose_part(self, loss)
+        self.listener.on_part_lost(self, loss)
--- a/chervilspindle/routing/fanout.py
+++ b/chervilspindle/routing/fanout.py
@@ -176,11 +176,11 @@
 
     # Listener methods, called by dispatches.
 
-    def note_endpoint(self, dispatch, service, endpoint_id):
+    def on_endpoint_chosen(self, dispatch, service, endpoint_id):
         """Record the endpoint that a shard was sent to."""
         self.shard_by_service[service].tried.append(endpoint_id)
 
-    def take_part(self, dispatch, service, stamp, body, took_ms):
+    def on_part(self, dispatch, service, stamp, body, took_ms):
         """Add a part that an endpoint sent to this process."""
         self.shard_by_service[service].open_dispatches.remove(dispatch)
         self.may_have_run = True
@@ -188,7 +188,7 @@
             self.record_part_ms(took_ms)
             self._add_part_set(messages.PartSet((service,), stamp, body))
 
-    def take_part_set(self, dispatch, part_set, mean_ms):
+    def on_part_set(self, dispatch, part_set, mean_ms):
         """Add a set of parts that a relay reported."""
         for service in part_set.services:
             self.shard_by_service[service].open_dispatches.remove(dispatch)
@@ -197,11 +197,11 @@
             self.record_part_ms(mean_ms)
             self._add_part_set(part_set)
 
-    def lose_part(self, dispatch, loss):
+    def on_part_lost(self, dispatch, loss):
         """Handle the failure of one shard sent by this process."""
-        self.lose_parts(dispatch, (loss,))
+        self.on_parts_lost(dispatch, (loss,))
 
-    def lose_parts(self, dispatch, losses):
+    def on_parts_lost(self, dispatch, losses):
         """Handle failed shards: resend them, or mark them as failed."""
         to_resend = []
         for loss in losses:
@@ -314,7 +314,7 @@
                     recheck = True
                     continue
                 self._presume_relay_lost(dispatch)
-            if table.has_place(shard.service, shard.tried):
+            if table.has_free_slot(shard.service, shard.tried):
                 to_hedge.append(shard)
         hedged = self._resend(to_hedge, "hedge")
         self.hedges += len(hedged)
@@ -327,7 +327,7 @@
         if not dispatch.presumed_lost:
             dispatch.presumed_lost = True
             table = self.context.relays.table
-            table.note_silence(dispatch.address, "no report")
+            table.record_relay_failure(dispatch.address, "no report")
 
     def _reserve_resend(self, shard) -> bool:
         """Charge one more send to the budget.
@@ -389,9 +389,9 @@
         table = self.context.relays.table
         tried = shard.relays_tried
         if shard.tried:
-            return table.pick_far(shard.group, tried)
+            return table.pick_from_other_zone(shard.group, tried)
         near = table.pick(shard.group, tried)
-        return near or table.pick_far(shard.group, tried)
+        return near or table.pick_from_other_zone(shard.group, tried)
 
     def _log_resends(self, shards, cause):
         elapsed = round(self.read_elapsed_ms(), 1)
--- a/chervilspindle/routing/overload_test.py
+++ b/chervilspindle/routing/overload_test.py
@@ -73,13 +73,13 @@
 
 
 def test_an_endpoint_with_a_queue_has_no_free_slot():
-    assert overload.has_place(build_health(1.0), 0.0)
-    assert not overload.has_place(build_health(2.0), 0.0)
+    assert overload.has_free_slot(build_health(1.0), 0.0)
+    assert not overload.has_free_slot(build_health(2.0), 0.0)
 
 
 def test_an_old_report_of_a_queue_is_ignored():
     health = build_health(2.0)
-    assert overload.has_place(health, 0.5 * overload.OCCUPANCY_DECAY_S)
+    assert overload.has_free_slot(health, 0.5 * overload.OCCUPANCY_DECAY_S)
 
 
 class QuerySimulation:
--- /dev/null
+++ b/chervilspindle/routing/relay_selection.py
@@ -0,0 +1,308 @@
+"""Selection of the relays through which a query with many shards is sent.
+
+On a VM with a fraction of a core and a slow link, sending a query to many
+shards directly takes a large part of its latency objective. The shards are
+then divided into groups, and each group is sent through a relay: another
+entry, normally in the same zone, that queries the shards and merges their
+results. Each group has few relays, so that a relay's connections to the
+group's endpoints stay in use although any one entry receives a query only
+every few seconds.
+"""
+
+import math
+import typing
+import zlib
+
+from chervilspindle.core import logs
+from chervilspindle.wire import messages
+
+SHARD_CORE_MS = 0.05  # CPU time per shard, on a whole core
+SHARD_BYTES = 400  # one shard's response with its headers
+MAX_GROUP_TIME_SHARE = 0.1  # of the objective, spent by a relay on a group
+MIN_GROUP_SHARDS = 8  # smaller groups cost more messages than they save
+MIN_RELAYS = 2  # per group and zone, to tolerate the loss of one
+# Query rate of a zone per relay of a group. With a lower one a relay would
+# have too few samples of its endpoints to tell which are slow; with a much
+# higher one it would be overloaded.
+QUERIES_PER_S_PER_RELAY = 10.0
+FAILURE_BACKOFF_S = 8.0  # longer than the time between an entry's queries
+
+
+class ShardGroup(typing.NamedTuple):
+    """Shards of a query that are sent through one relay.
+
+    Parameters
+    ----------
+    services : tuple of str
+        One service per shard.
+    group_count : int
+        Number of groups that the query is divided into.
+    """
+
+    services: tuple[str, ...]
+    group_count: int
+
+
+def count_groups(
+    shards: int, objective_ms: float, core_share: float, link_mbps: float
+) -> int:
+    """Return the number of groups that the shards of a query form.
+
+    Parameters
+    ----------
+    shards : int
+    objective_ms : float
+        Shortest latency objective of the routes over these shards; 0 if
+        none has one.
+    core_share : float
+        Share of a CPU core that an entry may use.
+    link_mbps : float
+        Bandwidth of an entry's link, in Mbit/s.
+
+    Returns
+    -------
+    int
+        1 if the entry sends to all shards directly.
+    """
+    if not objective_ms:
+        return 1
+    link_ms = SHARD_BYTES * 8 / (link_mbps * 1000.0)
+    direct_ms = shards * (SHARD_CORE_MS / core_share + link_ms)
+    needed = math.ceil(direct_ms / (MAX_GROUP_TIME_SHARE * objective_ms))
+    return max(1, min(needed, shards // MIN_GROUP_SHARDS))
+
+
+def divide_shards(services, groups: int) -> tuple[ShardGroup, ...]:
+    """Divide shards into groups whose sizes differ by at most one."""
+    count = len(services)
+    edges = [count * i // groups for i in range(groups + 1)]
+    return tuple(
+        ShardGroup(tuple(services[start:end]), groups)
+        for start, end in zip(edges, edges[1:])
+    )
+
+
+def count_relays(
+    available: int, group_count: int, queries_per_s: float
+) -> int:
+    """Return the number of relays of a group in a zone.
+
+    Parameters
+    ----------
+    available : int
+        Relays in the zone.
+    group_count : int
+        Number of groups that share them.
+    queries_per_s : float
+        Query rate of the zone.
+    """
+    needed = count_relays_for_rate(queries_per_s)
+    return max(MIN_RELAYS, min(needed, math.ceil(available / group_count)))
+
+
+def count_relays_for_rate(queries_per_s: float) -> int:
+    """Return the number of relays per group that a zone's rate requires.
+
+    The number grows in powers of two, so that small changes of the rate do
+    not change the set of relays.
+    """
+    needed = MIN_RELAYS
+    while needed * QUERIES_PER_S_PER_RELAY < queries_per_s:
+        needed *= 2
+    return needed
+
+
+def rank_relays(
+    relays, zone: str, group: ShardGroup, queries_per_s: float
+) -> list[messages.Relay]:
+    """Return the relays of a group in a zone, by rendezvous hashing."""
+    ranked = [r for r in relays if r.zone == zone]
+    ranked.sort(key=lambda r: _hash(group.services[0], r.vm_id))
+    return ranked[
+        : count_relays(len(ranked), group.group_count, queries_per_s)
+    ]
+
+
+class RelayTable:
+    """The relays known to an entry, with their recent failures.
+
+    Parameters
+    ----------
+    vm_id, zone : str
+        Of this entry.
+    core_share : float
+        Share of a CPU core that this entry may use.
+    link_mbps : float
+        Bandwidth of this entry's link, in Mbit/s.
+    read_clock : callable
+        Returns the current time in seconds.
+    """
+
+    def __init__(self, vm_id, zone, core_share, link_mbps, read_clock):
+        self.vm_id = vm_id
+        self.zone = zone
+        self.core_share = core_share
+        self.link_mbps = link_mbps
+        self.read_clock = read_clock
+        self.revision = 0  # incremented when the relays of a group may change
+        self.relays = ()
+        self.groups_by_shards = {}
+        self.ranked_by_group = {}
+        self.failed_s_by_address = {}
+        self.queries_per_s = 0.0
+
+    def set_relays(self, fingerprint: int, relays):
+        """Replace the list of relays by the one that control sent.
+
+        Parameters
+        ----------
+        fingerprint : int
+            Identifies the content of the list.
+        relays : sequence of messages.Relay
+        """
+        self.relays = tuple(relays)
+        self.ranked_by_group = {}
+        self.revision += 1
+        logs.log_decision("relays-known", mark=fingerprint, relays=len(relays))
+
+    def set_query_rate(self, queries_per_s: float | None):
+        """Set the query rate of the whole system.
+
+        None means that control does not know the rate; the previous one is
+        kept.
+        """
+        if queries_per_s is None:
+            return
+        zones = max(1, len({r.zone for r in self.relays}))
+        before = count_relays_for_rate(self.queries_per_s)
+        self.queries_per_s = queries_per_s / zones
+        if count_relays_for_rate(self.queries_per_s) != before:
+            self.ranked_by_group = {}
+            self.revision += 1
+
+    def update_document(self, document):
+        """Divide the shards of all routes into groups."""
+        objective_by_shards = {}
+        for route in document.routes:
+            if route.shards:
+                previous = objective_by_shards.get(route.shards, math.inf)
+                objective = route.objective_ms or math.inf
+                objective_by_shards[route.shards] = min(previous, objective)
+        self.groups_by_shards = {}
+        for shards, objective in objective_by_shards.items():
+            count = count_groups(
+                len(shards),
+                0.0 if math.isinf(objective) else objective,
+                self.core_share,
+                self.link_mbps,
+            )
+            if count > 1:
+                # Routes that list the same shards in another order get the
+                # same groups.
+                groups = divide_shards(sorted(shards), count)
+                self.groups_by_shards[shards] = groups
+        self.ranked_by_group = {}
+        self.revision += 1
+
+    def get_groups(self, shards) -> tuple[ShardGroup, ...]:
+        """Return the groups of a query, empty if it is sent directly."""
+        return self.groups_by_shards.get(shards, ())
+
+    def pick(self, group: ShardGroup, tried=()) -> messages.Relay | None:
+        """Return a relay for a group, preferably in this zone.
+
+        An entry keeps using one relay, on which its latency estimates are
+        based, until that relay fails. If all relays of the zone have failed
+        recently, an available relay of another zone is returned. None if
+        the zone has no relay that is not in `tried`.
+
+        Parameters
+        ----------
+        group : ShardGroup
+        tried : collection of str
+            Addresses of relays to leave out.
+        """
+        local = self._pick_from_zone(group, self.zone, tried)
+        if local is None or self._is_available(local):
+            return local
+        remote = self.pick_from_other_zone(group, tried)
+        return (
+            remote
+            if remote is not None and self._is_available(remote)
+            else local
+        )
+
+    def pick_from_other_zone(
+        self, group: ShardGroup, tried=()
+    ) -> messages.Relay | None:
+        """Return a relay of another zone, or None if there is none.
+
+        It is close to other replicas of the shards than this zone's relays.
+        """
+        zones = {r.zone for r in self.relays} - {self.zone}
+        candidates = [
+            self._pick_from_zone(group, zone, tried) for zone in sorted(zones)
+        ]
+        candidates = [r for r in candidates if r is not None]
+        candidates.sort(key=lambda r: _hash(self.vm_id, r.vm_id))
+        if not candidates:
+            return None
+        return min(candidates, key=self._get_failed_s)
+
+    def list_relayed_services(self) -> set[str]:
+        """Return the shards for which this VM is a relay."""
+        services = set()
+        for groups in self.groups_by_shards.values():
+            for group in groups:
+                ranked = self._rank(group, self.zone)
+                if any(r.vm_id == self.vm_id for r in ranked):
+                    services.update(group.services)
+        return services
+
+    def record_relay_failure(self, address: str, reason: str):
+        """Avoid a relay for `FAILURE_BACKOFF_S`."""
+        failed_before = address in self.failed_s_by_address
+        self.failed_s_by_address[address] = self.read_clock()
+        if not failed_before:
+            logs.log_decision("relay-failed", address=address, why=reason)
+
+    def clear_failure(self, address: str):
+        """Make a relay available again after it has reported."""
+        if self.failed_s_by_address.pop(address, None) is not None:
+            logs.log_decision("relay-answers", address=address)
+
+    def _rank(self, group, zone):
+        key = (group, zone)
+        ranked = self.ranked_by_group.get(key)
+        if ranked is None:
+            ranked = rank_relays(self.relays, zone, group, self.queries_per_s)
+            # The order differs by group, so that the groups of one query
+            # are processed by different relays in parallel.
+            keys = (self.vm_id, group.services[0])
+            ranked.sort(key=lambda r: _hash(*keys, r.vm_id))
+            self.ranked_by_group[key] = ranked
+        return ranked
+
+    def _pick_from_zone(self, group, zone, tried):
+        candidates = [
+            r
+            for r in self._rank(group, zone)
+            if r.vm_id != self.vm_id and r.address not in tried
+        ]
+        if not candidates:
+            return None
+        for relay in candidates:
+            if self._is_available(relay):
+                return relay
+        return min(candidates, key=self._get_failed_s)
+
+    def _is_available(self, relay) -> bool:
+        backoff_start_s = self.read_clock() - FAILURE_BACKOFF_S
+        return self._get_failed_s(relay) < backoff_start_s
+
+    def _get_failed_s(self, relay) -> float:
+        return self.failed_s_by_address.get(relay.address, -math.inf)
+
+
+def _hash(*keys) -> int:
+    return zlib.crc32(" ".join(keys).encode())
--- /dev/null
+++ b/chervilspindle/routing/relay_selection_test.py
@@ -0,0 +1,193 @@
+"""Tests of shard groups, the choice of their relays, and merging of parts."""
+
+import collections
+
+from chervilspindle.routing import documents
+from chervilspindle.routing import part_merging
+from chervilspindle.routing import relay_selection
+from chervilspindle.wire import messages
+
+SHARDS = tuple(f"shard-{i:02}" for i in range(90))
+
+
+def build_relays(count, zones="abc"):
+    return [
+        messages.Relay(f"vm-{i}", zones[i % len(zones)], f"10.0.0.{i}:1")
+        for i in range(count)
+    ]
+
+
+def build_table(vm_id="vm-0", zone="a", clock=None, count=102):
+    clock = clock or [0.0]
+    table = relay_selection.RelayTable(
+        vm_id, zone, 0.361, 13.5, lambda: clock[0]
+    )
+    route = documents.Route(
+        "r", "h", "/", True, 600.0, 47.0, 1, 2, (), SHARDS, 5, 0.85
+    )
+    document = documents.Document(1, (route,), {}, documents.Limits())
+    table.update_document(document)
+    table.set_relays(7, build_relays(count))
+    return table
+
+
+def rank(table, group):
+    return relay_selection.rank_relays(
+        table.relays, "a", group, table.queries_per_s
+    )
+
+
+def test_query_over_many_shards_on_a_fraction_of_a_core_is_divided():
+    groups = relay_selection.count_groups(90, 47.0, 0.361, 13.5)
+    assert 4 <= groups <= 11
+    assert (
+        sum(
+            len(g.services)
+            for g in relay_selection.divide_shards(SHARDS, groups)
+        )
+        == 90
+    )
+
+
+def test_query_that_is_cheap_to_send_directly_is_not_divided():
+    assert relay_selection.count_groups(20, 44.0, 0.731, 350.0) == 1
+    assert relay_selection.count_groups(90, 0.0, 0.361, 13.5) == 1
+
+
+def test_groups_are_spread_over_the_relays_of_a_zone():
+    table = build_table()
+    table.set_query_rate(600.0)
+    counts = collections.Counter()
+    for group in table.get_groups(SHARDS):
+        ranked = rank(table, group)
+        assert len(ranked) >= relay_selection.MIN_RELAYS
+        counts.update(r.vm_id for r in ranked)
+    assert len(counts) > 12 and max(counts.values()) <= 4
+
+
+def test_number_of_relays_grows_with_the_query_rate():
+    counts = [
+        relay_selection.count_relays(34, 7, rate)
+        for rate in (0.0, 7.0, 30.0, 1e6)
+    ]
+    assert counts == [2, 2, 4, 5]
+    assert (
+        relay_selection.count_relays(1, 7, 7.0) == relay_selection.MIN_RELAYS
+    )
+
+
+def test_small_changes_of_the_rate_do_not_change_the_relays():
+    table = build_table()
+    table.set_query_rate(20.0)
+    before = table.revision
+    table.set_query_rate(45.0)
+    assert table.revision == before
+    table.set_query_rate(90.0)
+    assert table.revision == before + 1
+
+
+def test_unknown_rate_does_not_change_the_relays():
+    table = build_table()
+    table.set_query_rate(90.0)
+    before = table.revision, table.queries_per_s
+    table.set_query_rate(None)
+    assert (table.revision, table.queries_per_s) == before
+
+
+def test_removing_a_relay_replaces_only_that_relay():
+    table = build_table()
+    for group in table.get_groups(SHARDS):
+        before = relay_selection.rank_relays(table.relays, "a", group, 200.0)
+        fewer = [r for r in table.relays if r != before[0]]
+        after = relay_selection.rank_relays(fewer, "a", group, 200.0)
+        assert len(set(after) - set(before)) <= 1
+
+
+def test_each_entry_uses_one_relay_and_entries_use_different_ones():
+    group = build_table().get_groups(SHARDS)[0]
+    picked = collections.Counter()
+    for number in range(0, 102, 3):
+        table = build_table(f"vm-{number}")
+        picked[table.pick(group).vm_id] += 1
+        assert table.pick(group) == table.pick(group)
+    assert len(picked) >= relay_selection.MIN_RELAYS
+
+
+def test_failed_relay_is_avoided_until_backoff_ends_or_it_reports():
+    clock = [100.0]
+    table = build_table(clock=clock)
+    group = table.get_groups(SHARDS)[0]
+    first = table.pick(group)
+    table.record_relay_failure(first.address, "no report")
+    second = table.pick(group)
+    assert second != first
+    clock[0] += relay_selection.FAILURE_BACKOFF_S + 0.1
+    assert table.pick(group) == first
+    table.record_relay_failure(first.address, "no report")
+    table.clear_failure(first.address)
+    assert table.pick(group) == first
+
+
+def test_relay_of_another_zone_is_used_when_all_of_the_zone_failed():
+    clock = [100.0]
+    table = build_table(clock=clock)
+    group = table.get_groups(SHARDS)[0]
+    for relay in rank(table, group):
+        assert table.pick(group).zone == "a"
+        table.record_relay_failure(relay.address, "no report")
+    assert table.pick(group).zone != "a"
+
+
+def test_when_all_relays_failed_the_least_recent_failure_is_tried():
+    clock = [100.0]
+    table = build_table(clock=clock)
+    table.set_relays(8, [r for r in table.relays if r.zone == "a"])
+    group = table.get_groups(SHARDS)[0]
+    failed = []
+    for _ in rank(table, group):
+        failed.append(table.pick(group))
+        table.record_relay_failure(failed[-1].address, "no report")
+        clock[0] += 0.1
+    assert table.pick(group) == failed[0]
+
+
+def test_other_zone_relay_is_remote_and_an_entry_never_picks_itself():
+    table = build_table()
+    group = table.get_groups(SHARDS)[0]
+    assert table.pick_from_other_zone(group).zone != "a"
+    alone = build_table(count=1)
+    assert (
+        alone.pick(group) is None and alone.pick_from_other_zone(group) is None
+    )
+
+
+def part_set(*services):
+    return messages.PartSet(services, b"s", b"")
+
+
+def test_second_part_of_a_shard_is_ignored():
+    part_sets = {}
+    assert part_merging.add_part_set(part_sets, part_set("a")) == ("a",)
+    assert part_merging.add_part_set(part_sets, part_set("a")) == ()
+    assert part_merging.add_part_set(part_sets, part_set("b", "c")) == (
+        "b",
+        "c",
+    )
+    assert len({id(p) for p in part_sets.values()}) == 2
+
+
+def test_larger_part_set_replaces_the_sets_it_overlaps():
+    part_sets = {}
+    part_merging.add_part_set(part_sets, part_set("a", "b"))
+    part_merging.add_part_set(part_sets, part_set("d"))
+    assert part_merging.add_part_set(part_sets, part_set("b", "c")) == ()
+    assert set(part_sets) == {"a", "b", "d"}
+    assert part_merging.add_part_set(part_sets, part_set("b", "c", "e")) == (
+        "c",
+        "e",
+    )
+    assert set(part_sets) == {"b", "c", "d", "e"}
+    assert (
+        part_sets["b"] is part_sets["e"]
+        and part_sets["d"] is not part_sets["b"]
+    )
--- /dev/null
+++ b/chervilspindle/routing/relayed_query.py
@@ -0,0 +1,321 @@
+"""Client and server of relayed queries.
+
+A relay queries shards on behalf of another entry. At a time set by that
+entry it reports the parts received so far, merged into one set; later parts
+are reported unmerged as they arrive. Retries and hedges are left to the
+entry: each `RelayCall` sends each of its shards at most once, so the entry
+can bound how often a shard may have run even if the relay is lost.
+"""
+
+import functools
+import itertools
+
+from chervilspindle.core import logs
+from chervilspindle.routing import direct_dispatch
+from chervilspindle.routing import endpoint_calls
+from chervilspindle.routing import part_merging
+from chervilspindle.wire import messages
+
+REPORT_BATCH_S = 0.002  # parts within this time share one report
+RELAY_MESSAGES = (messages.RelayCall, messages.RelayCancel)
+
+
+class RelayedDispatch:
+    """Shards of a query that were sent through a relay.
+
+    Has the same interface as `direct_dispatch.DirectDispatch`.
+
+    Attributes
+    ----------
+    presumed_lost : bool
+        Whether the relay's first report is so late that the entry no longer
+        waits for it.
+    """
+
+    def __init__(self, client, address, query_id, services, listener):
+        self.client = client
+        self.address = address
+        self.query_id = query_id
+        self.pending_services = set(services)
+        self.listener = listener
+        self.reported = False
+        self.presumed_lost = False
+
+    def awaits_report(self) -> bool:
+        """Tell whether the relay has not reported yet."""
+        return not self.reported
+
+    def may_have_run(self) -> bool:
+        """Tell whether an endpoint may be executing a shard."""
+        return bool(self.pending_services)
+
+    def stop(self):
+        """Ignore further reports; shards in progress are not cancelled."""
+        self.client.discard(self)
+
+    def cancel(self):
+        """Make the relay cancel the shards in progress."""
+        self.client.cancel(self)
+
+    def handle_report(self, report: messages.RelayReport):
+        """Pass the content of a report to the listener."""
+        self.reported = True
+        self.presumed_lost = False
+        for service, endpoint_id in report.sent:
+            self.listener.on_endpoint_chosen(self, service, endpoint_id)
+        for part_set in report.parts:
+            self.pending_services.difference_update(part_set.services)
+            self.listener.on_part_set(self, part_set, report.usual_ms)
+        self.pending_services.difference_update(
+            loss.service for loss in report.losses
+        )
+        if report.losses:
+            self.listener.on_parts_lost(self, report.losses)
+        if not self.pending_services:
+            self.client.discard(self)
+
+    def fail(self, reason: str):
+        """Report all shards in progress as lost."""
+        losses = [
+            messages.Loss(service, "", reason, True)
+            for service in sorted(self.pending_services)
+        ]
+        self.pending_services.clear()
+        self.listener.on_parts_lost(self, losses)
+
+
+class RelayClient:
+    """Sends shards of this VM's queries through relays.
+
+    Parameters
+    ----------
+    network : PeerNetwork
+    table : relay_selection.RelayTable
+    """
+
+    def __init__(self, network, table):
+        self.network = network
+        self.table = table
+        self.query_ids = itertools.count(1)
+        self.dispatch_by_id = {}
+        network.lost_listeners.append(self._handle_lost_link)
+
+    def send(
+        self, relay, services, tried, message, request, listener
+    ) -> RelayedDispatch:
+        """Send shards through a relay.
+
+        Parameters
+        ----------
+        relay : messages.Relay
+        services : tuple of str
+        tried : tuple of tuple of str
+            Endpoints to which each shard was sent before; may be empty.
+        message : endpoint_calls.RequestTemplate
+        request : messages.RelayedRequest
+        listener
+            Receives ``on_part_set(dispatch, part_set, usual_ms)``,
+            ``on_parts_lost(dispatch, losses)`` and
+            ``on_endpoint_chosen(dispatch, service, endpoint_id)``.
+        """
+        query_id = next(self.query_ids)
+        dispatch = RelayedDispatch(
+            self, relay.address, query_id, services, listener
+        )
+        self.dispatch_by_id[query_id] = dispatch
+        call = messages.RelayCall(
+            query_id, message.head, message.tail, services, tried, request
+        )
+        self.network.send(relay.address, call)
+        return dispatch
+
+    def handle_report(self, address: str, report: messages.RelayReport):
+        """Handle a report from a relay."""
+        self.table.clear_failure(address)
+        dispatch = self.dispatch_by_id.get(report.query_id)
+        if dispatch is not None:
+            dispatch.handle_report(report)
+
+    def discard(self, dispatch: RelayedDispatch):
+        """Ignore further reports of a dispatch."""
+        self.dispatch_by_id.pop(dispatch.query_id, None)
+
+    def cancel(self, dispatch: RelayedDispatch):
+        """Make the relay cancel what is in progress of a dispatch."""
+        self.discard(dispatch)
+        if dispatch.pending_services:
+            self.network.send(
+                dispatch.address, messages.RelayCancel(dispatch.query_id)
+            )
+
+    def _handle_lost_link(self, address):
+        lost = [
+            d for d in self.dispatch_by_id.values() if d.address == address
+        ]
+        if lost:
+            self.table.record_relay_failure(address, "link lost")
+        for dispatch in lost:
+            self.discard(dispatch)
+        for dispatch in lost:
+            dispatch.fail("relay_lost")
+
+
+class RelayServer:
+    """Queries shards on behalf of other entries.
+
+    Parameters
+    ----------
+    context : endpoint_calls.Context
+    """
+
+    def __init__(self, context):
+        self.context = context
+        self.served_by_key = {}
+
+    def count_busy(self) -> int:
+        """Return the number of relayed calls in progress."""
+        return len(self.served_by_key)
+
+    def handle(self, link, message):
+        """Handle a message from another entry."""
+        _handle_message(message, self, link)
+
+
+@functools.singledispatch
+def _handle_message(message, server: RelayServer, link):
+    raise TypeError(f"relay cannot handle message {type(message).__name__}")
+
+
+@_handle_message.register
+def _handle_call(message: messages.RelayCall, server: RelayServer, link):
+    served = _ServedCall(server, link, message)
+    server.served_by_key[link, message.query_id] = served
+    served.start()
+
+
+@_handle_message.register
+def _handle_cancel(message: messages.RelayCancel, server: RelayServer, link):
+    served = server.served_by_key.get((link, message.query_id))
+    if served is not None:
+        served.cancel()
+
+
+class _ServedCall:
+    """A `RelayCall` in progress at the relay."""
+
+    def __init__(self, server, link, call):
+        self.server = server
+        self.link = link
+        self.call = call
+        context = server.context
+        self.loop = context.loop
+        request = call.request
+        started_s = self.loop.time()
+        self.dispatch = direct_dispatch.DirectDispatch(
+            context,
+            endpoint_calls.RequestTemplate(
+                call.head, call.tail, context.names.sent
+            ),
+            request.request_id,
+            started_s + request.left_ms / 1000.0,
+            self,
+        )
+        self.pending_count = len(call.services)
+        self.endpoint_by_service = {}
+        self.parts = []
+        self.losses = []
+        self.durations_ms = []
+        self.first_report_sent = False
+        self.batch_timer = None
+        self.first_report_timer = self.loop.call_at(
+            started_s + request.report_ms / 1000.0, self._report_first
+        )
+
+    def start(self):
+        """Send the shards to endpoints."""
+        services, tried = self.call.services, self.call.tried
+        self.dispatch.start(services, dict(zip(services, tried)))
+
+    def cancel(self):
+        """Cancel the shards in progress."""
+        self.dispatch.cancel()
+        self._close()
+
+    # Listener methods called by the dispatch.
+
+    def on_endpoint_chosen(self, dispatch, service, endpoint_id):
+        self.endpoint_by_service[service] = endpoint_id
+
+    def on_part(self, dispatch, service, stamp, body, took_ms):
+        self.parts.append(messages.PartSet((service,), stamp, body))
+        self.durations_ms.append(took_ms)
+        self._complete_shard(service)
+
+    def on_part_lost(self, dispatch, loss):
+        self.losses.append(loss)
+        self._complete_shard(loss.service)
+
+    def _complete_shard(self, service):
+        self.endpoint_by_service.pop(service, None)
+        self.pending_count -= 1
+        if not self.pending_count:
+            self._report()
+            self._close()
+        elif self.batch_timer is None and (
+            self.first_report_sent or self.losses
+        ):
+            self.batch_timer = self.loop.call_later(
+                REPORT_BATCH_S, self._report_batch
+            )
+
+    def _report_batch(self):
+        self.batch_timer = None
+        if self.first_report_sent:
+            self._report()
+            return
+        # Before the first report only losses are sent, so that the entry
+        # can retry those shards without waiting for the others.
+        losses, self.losses = tuple(self.losses), []
+        self._send_report((), losses, ())
+
+    def _report_first(self):
+        self._report()
+        self.first_report_sent = True
+        pending = dict(itertools.islice(self.endpoint_by_service.items(), 8))
+        logs.log_decision(
+            "relayed-late",
+            request_id=self.call.request.request_id.decode("latin-1"),
+            open=pending,
+            after_ms=round(self.call.request.report_ms, 1),
+        )
+
+    def _report(self):
+        part_sets, losses = tuple(self.parts), tuple(self.losses)
+        in_progress = ()
+        if not self.first_report_sent:
+            in_progress = tuple(self.endpoint_by_service.items())
+            if len(part_sets) > 1:
+                part_sets = (
+                    part_merging.merge_parts(
+                        part_sets, self.call.request.top_k
+                    ),
+                )
+        self.parts, self.losses = [], []
+        self._send_report(part_sets, losses, in_progress)
+
+    def _send_report(self, part_sets, losses, in_progress):
+        mean_ms = 0.0
+        if part_sets:
+            mean_ms = sum(self.durations_ms) / len(self.durations_ms)
+            self.durations_ms = []
+        self.link.send(
+            messages.RelayReport(
+                self.call.query_id, part_sets, losses, in_progress, mean_ms
+            )
+        )
+
+    def _close(self):
+        self.first_report_timer.cancel()
+        if self.batch_timer is not None:
+            self.batch_timer.cancel()
+        self.server.served_by_key.pop((self.link, self.call.query_id), None)
