--- a/chervilspindle/query/handover.py
+++ b/chervilspindle/query/handover.py
@@ -47,7 +47,7 @@
     return row.session == own and row.epoch == epoch
 
 
-class HandoverDesk:
+class HandoverManager:
     """Asks for endpoints granted to this VM, and hands over its own.
 
     Parameters
--- a/chervilspindle/query/owner.py
+++ b/chervilspindle/query/owner.py
@@ -75,7 +75,7 @@
         self.wake_planned = False
         self.commands_seen = {}
         self.health = health.HealthWatch(self)
-        self.desk = handover.HandoverDesk(
+        self.desk = handover.HandoverManager(
             self, directory, session, call, timers
         )
         directory.listeners.append(self.update_owned)
--- a/features/handover_model_test.py
+++ b/features/handover_model_test.py
@@ -333,20 +333,20 @@
 
 def forget_given(monkeypatch):
     """Take up again what was handed over."""
-    original = handover.HandoverDesk.find_epoch
+    original = handover.HandoverManager.find_epoch
 
     def find(self, row):
         self.given_epoch_by_id.clear()
         return original(self, row)
 
-    monkeypatch.setattr(handover.HandoverDesk, "find_epoch", find)
+    monkeypatch.setattr(handover.HandoverManager, "find_epoch", find)
 
 
 def ask_nobody(monkeypatch):
     """Start under a grant while the owner before still serves."""
-    original = handover.HandoverDesk.find_epoch
+    original = handover.HandoverManager.find_epoch
     monkeypatch.setattr(
-        handover.HandoverDesk,
+        handover.HandoverManager,
         "find_epoch",
         lambda self, row: original(self, row._replace(previous="")),
     )
