--- a/chervilspindle/query/entry.py
+++ b/chervilspindle/query/entry.py
@@ -471,7 +471,7 @@
 
 @handle_peer.register
 def _handle_hand_over(message: messages.HandOverCall, entry: Entry, link):
-    return entry.owner.desk.hand_over(message, link)
+    return entry.owner.handover_manager.hand_over(message, link)
 
 
 @handle_peer.register
--- a/chervilspindle/query/owner.py
+++ b/chervilspindle/query/owner.py
@@ -75,7 +75,7 @@
         self.wake_planned = False
         self.commands_seen = {}
         self.health = health.HealthWatch(self)
-        self.desk = handover.HandoverManager(
+        self.handover_manager = handover.HandoverManager(
             self, directory, session, call, timers
         )
         directory.listeners.append(self.update_owned)
@@ -275,11 +275,11 @@
     def _gain(self, row, endpoint):
         if row is None or endpoint is None:
             return
-        epoch = self.desk.find_epoch(row)
+        epoch = self.handover_manager.find_epoch(row)
         if epoch:
             self._take_up(endpoint, epoch)
         else:
-            self.desk.watch(row)
+            self.handover_manager.watch(row)
 
     def _take_up(self, endpoint, epoch):
         client = self.build_client(
--- a/chervilspindle/query/owner_test.py
+++ b/chervilspindle/query/owner_test.py
@@ -309,7 +309,7 @@
     assert len(setting.client.call_by_run) == 2
     link = Link()
     call = messages.HandOverCall("e", 2, SESSION)
-    reply = setting.owner.desk.hand_over(call, link)
+    reply = setting.owner.handover_manager.hand_over(call, link)
     assert reply == messages.HandOverReply(True, 2)
     setting.pass_time(0.1)
     assert [p.status for p in setting.target.parts] == ["not_owner"]
@@ -323,7 +323,7 @@
 
 def test_handed_over_grant_is_not_used_again(setting):
     call = messages.HandOverCall("e", 2, SESSION)
-    assert setting.owner.desk.hand_over(call, Link()).granted
+    assert setting.owner.handover_manager.hand_over(call, Link()).granted
     # The row of the new grant has not come yet, an older one comes late.
     setting.put(ownership=rows.Ownership("e", SESSION, 1))
     assert not setting.owner.owned_by_id
@@ -334,13 +334,13 @@
 def test_late_call_does_not_take_a_later_grant(setting):
     setting.put(ownership=rows.Ownership("e", SESSION, 3))
     call = messages.HandOverCall("e", 2, SESSION)
-    setting.owner.desk.hand_over(call, Link())
+    setting.owner.handover_manager.hand_over(call, Link())
     assert setting.owner.owned_by_id["e"].epoch == 3
 
 
 def test_call_for_another_process_is_answered_no(setting):
     call = messages.HandOverCall("e", 2, "entry-1@0")
-    assert not setting.owner.desk.hand_over(call, Link()).granted
+    assert not setting.owner.handover_manager.hand_over(call, Link()).granted
     assert setting.owner.owned_by_id
 
 
@@ -406,6 +406,6 @@
     move(setting, "entry-2@1", SESSION, 4)
     assert setting.owner.owned_by_id["e"].epoch == 3
     call = messages.HandOverCall("e", 4, SESSION)
-    assert setting.owner.desk.hand_over(call, Link()).granted
+    assert setting.owner.handover_manager.hand_over(call, Link()).granted
     move(setting, "entry-2@1", SESSION, 4)
     assert not setting.owner.owned_by_id
--- a/features/handover_model_test.py
+++ b/features/handover_model_test.py
@@ -188,7 +188,7 @@
             (
                 e.directory.ownership_by_id.get("e"),
                 e.owner.owned_by_id["e"].epoch if e.owner.owned_by_id else 0,
-                e.owner.desk.given_epoch_by_id.get("e", 0),
+                e.owner.handover_manager.given_epoch_by_id.get("e", 0),
                 e.session.valid,
                 tuple(sorted(e.session.taken)),
                 len(e.timers.planned),
@@ -271,8 +271,10 @@
 
     def _copy(self, number):
         call = self.calls[number]
-        desk = self.entry_by_name[call.target].owner.desk
-        return desk.hand_over(call.message, None)
+        handover_manager = self.entry_by_name[
+            call.target
+        ].owner.handover_manager
+        return handover_manager.hand_over(call.message, None)
 
     def _deliver(self, number):
         call = self.calls[number]
