--- a/chervilspindle/query/handover.py
+++ b/chervilspindle/query/handover.py
@@ -67,7 +67,7 @@
         self.call = call
         self.timers = timers
         self.pull_by_id = {}
-        self.given_epoch_by_id = {}
+        self.released_epoch_by_id = {}
 
     def find_epoch(self, row: rows.Ownership) -> int:
         """Return the epoch that may be used without asking anybody, or 0.
@@ -76,7 +76,7 @@
         serves under its own grant until it is asked for the endpoint.
         """
         own = self.session.vm.session
-        given = self.given_epoch_by_id.get(row.endpoint_id, 0)
+        given = self.released_epoch_by_id.get(row.endpoint_id, 0)
         if row.epoch <= given:
             return 0
         if row.previous == own:
@@ -101,8 +101,8 @@
         if message.previous != self.session.vm.session:
             return messages.HandOverReply(False, 0)
         endpoint_id = message.endpoint_id
-        given = self.given_epoch_by_id.get(endpoint_id, 0)
-        self.given_epoch_by_id[endpoint_id] = max(given, message.epoch)
+        given = self.released_epoch_by_id.get(endpoint_id, 0)
+        self.released_epoch_by_id[endpoint_id] = max(given, message.epoch)
         self.directory.note_handed(endpoint_id, message.epoch)
         running = self.owner.pass_on(endpoint_id, message.epoch, link)
         logs.log_decision(
--- a/features/handover_model_test.py
+++ b/features/handover_model_test.py
@@ -188,7 +188,7 @@
             (
                 e.directory.ownership_by_id.get("e"),
                 e.owner.owned_by_id["e"].epoch if e.owner.owned_by_id else 0,
-                e.owner.handover_manager.given_epoch_by_id.get("e", 0),
+                e.owner.handover_manager.released_epoch_by_id.get("e", 0),
                 e.session.valid,
                 tuple(sorted(e.session.taken)),
                 len(e.timers.planned),
@@ -338,7 +338,7 @@
     original = handover.HandoverManager.find_epoch
 
     def find(self, row):
-        self.given_epoch_by_id.clear()
+        self.released_epoch_by_id.clear()
         return original(self, row)
 
     monkeypatch.setattr(handover.HandoverManager, "find_epoch", find)
