--- a/chervilspindle/query/handover.py
+++ b/chervilspindle/query/handover.py
@@ -69,7 +69,7 @@
         self.pull_by_id = {}
         self.released_epoch_by_id = {}
 
-    def find_epoch(self, row: rows.Ownership) -> int:
+    def get_serving_epoch(self, row: rows.Ownership) -> int:
         """Return the epoch that may be used without asking anybody, or 0.
 
         An owner may hear of its grant and of the next owner at once; it
--- a/chervilspindle/query/owner.py
+++ b/chervilspindle/query/owner.py
@@ -275,7 +275,7 @@
     def _gain(self, row, endpoint):
         if row is None or endpoint is None:
             return
-        epoch = self.handover_manager.find_epoch(row)
+        epoch = self.handover_manager.get_serving_epoch(row)
         if epoch:
             self._take_up(endpoint, epoch)
         else:
--- a/features/handover_model_test.py
+++ b/features/handover_model_test.py
@@ -335,21 +335,21 @@
 
 def forget_given(monkeypatch):
     """Take up again what was handed over."""
-    original = handover.HandoverManager.find_epoch
+    original = handover.HandoverManager.get_serving_epoch
 
     def find(self, row):
         self.released_epoch_by_id.clear()
         return original(self, row)
 
-    monkeypatch.setattr(handover.HandoverManager, "find_epoch", find)
+    monkeypatch.setattr(handover.HandoverManager, "get_serving_epoch", find)
 
 
 def ask_nobody(monkeypatch):
     """Start under a grant while the owner before still serves."""
-    original = handover.HandoverManager.find_epoch
+    original = handover.HandoverManager.get_serving_epoch
     monkeypatch.setattr(
         handover.HandoverManager,
-        "find_epoch",
+        "get_serving_epoch",
         lambda self, row: original(self, row._replace(previous="")),
     )
 
