--- a/chervilspindle/query/handover.py
+++ b/chervilspindle/query/handover.py
@@ -104,7 +104,9 @@
         given = self.released_epoch_by_id.get(endpoint_id, 0)
         self.released_epoch_by_id[endpoint_id] = max(given, message.epoch)
         self.directory.note_handed(endpoint_id, message.epoch)
-        running = self.owner.pass_on(endpoint_id, message.epoch, link)
+        running = self.owner.release_to_successor(
+            endpoint_id, message.epoch, link
+        )
         logs.log_decision(
             "handed-over",
             endpoint=endpoint_id,
--- a/chervilspindle/query/owner.py
+++ b/chervilspindle/query/owner.py
@@ -112,7 +112,7 @@
         owned.inherit(running, now)
         self._dispatch(owned, now)
 
-    def pass_on(self, endpoint_id: str, epoch: int, link) -> int:
+    def release_to_successor(self, endpoint_id: str, epoch: int, link) -> int:
         """Stop serving an endpoint for the owner under a later epoch.
 
         Parameters
--- a/features/handover_model_test.py
+++ b/features/handover_model_test.py
@@ -356,7 +356,9 @@
 
 def keep_serving(monkeypatch):
     """Go on serving after the handover."""
-    monkeypatch.setattr(owner_module.Owner, "pass_on", lambda self, *rest: 0)
+    monkeypatch.setattr(
+        owner_module.Owner, "release_to_successor", lambda self, *rest: 0
+    )
 
 
 @pytest.mark.parametrize(
