--- a/chervilspindle/query/entry.py
+++ b/chervilspindle/query/entry.py
@@ -180,7 +180,7 @@
         )
         return request_id, value
 
-    def take_announcement(self, endpoint: rows.Endpoint, in_use: int):
+    def handle_announcement(self, endpoint: rows.Endpoint, in_use: int):
         """Take in what an endpoint announced."""
         known = self.directory.endpoint_by_id.get(endpoint.endpoint_id)
         if known is not None and known.incarnation > endpoint.incarnation:
--- a/chervilspindle/wire/http_api.py
+++ b/chervilspindle/wire/http_api.py
@@ -150,13 +150,13 @@
         return _write_bytes(request, 200, msgspec.json.encode(body))
 
     @app.route("/v1/announce", methods=["POST"])
-    def take_announcement(self, request):
+    def handle_announcement(self, request):
         """Take in an endpoint's announcement."""
         if self.announcer_by_name:
             self._check_token(request, self.announcer_by_name)
         body = requests.decode_body(request.content.read(), Announcement)
         endpoint = build_endpoint(body)
-        self.entry.take_announcement(endpoint, body.in_use)
+        self.entry.handle_announcement(endpoint, body.in_use)
         return _write_json(request, 200, {"accepted": True})
 
     @app.route("/v1/config", methods=["GET"])
--- a/features/fakes.py
+++ b/features/fakes.py
@@ -248,7 +248,7 @@
             "Announce",
             (self.name, member.name),
             lambda: member.process.run(
-                lambda: member.entry.take_announcement(row, in_use)
+                lambda: member.entry.handle_announcement(row, in_use)
             ),
         )
 
--- a/features/sabotage_test.py
+++ b/features/sabotage_test.py
@@ -82,12 +82,12 @@
 
 def ignore_draining(monkeypatch):
     """Take a leaving endpoint for a ready one."""
-    original = entry.Entry.take_announcement
+    original = entry.Entry.handle_announcement
 
     def take(self, endpoint, in_use):
         original(self, endpoint._replace(state="ready"), in_use)
 
-    monkeypatch.setattr(entry.Entry, "take_announcement", take)
+    monkeypatch.setattr(entry.Entry, "handle_announcement", take)
 
 
 def drain_without_waiting(monkeypatch):
