--- a/chervilspindle/query/owned.py
+++ b/chervilspindle/query/owned.py
@@ -121,7 +121,7 @@
             return False
         return self.row.state == "ready"
 
-    def count_free(self, now: float) -> int:
+    def count_free_slots(self, now: float) -> int:
         """Return the slots that may be used now."""
         foreign = self.foreign if now < self.foreign_until_ms else 0
         allowed = min(limits.get_limit(self.limit), self.row.slots - foreign)
--- a/chervilspindle/query/owner.py
+++ b/chervilspindle/query/owner.py
@@ -361,7 +361,7 @@
         )
 
     def _dispatch(self, owned: owned_module.OwnedEndpoint, now: float):
-        while owned.queue.size and owned.count_free(now) > 0:
+        while owned.queue.size and owned.count_free_slots(now) > 0:
             if not self.session.is_valid():
                 self.refuse_queue(owned, errors.ErrorKind.NO_LEASE)
                 return
--- a/features/sabotage_test.py
+++ b/features/sabotage_test.py
@@ -116,10 +116,12 @@
 def take_over_at_once(monkeypatch):
     """Use all slots of an endpoint that an earlier owner may still fill."""
 
-    def count_free(self, now):
+    def count_free_slots(self, now):
         return self.row.slots - len(self.running)
 
-    monkeypatch.setattr(owned.OwnedEndpoint, "count_free", count_free)
+    monkeypatch.setattr(
+        owned.OwnedEndpoint, "count_free_slots", count_free_slots
+    )
     monkeypatch.setattr(fakes, "SERVICE_S", 4.0)
 
 
