--- a/chervilspindle/query/gather.py
+++ b/chervilspindle/query/gather.py
@@ -571,7 +571,7 @@
         self._cancel_parts(query, query.shards)
         missing = answers.list_missing(query)
         results = answers.list_results(query)
-        self._note_answer(query, results, missing)
+        self._record_answer(query, results, missing)
         if missing and (not results or not request.partial):
             query.deferred.errback(answers.build_failure(query, missing))
             return
@@ -586,7 +586,7 @@
         for send in shard.outstanding.values():
             self._update_stats(send.endpoint_id, replicas.mark_failed, now)
 
-    def _note_answer(self, query, results, missing):
+    def _record_answer(self, query, results, missing):
         self.metrics.count_shards("ok", len(results))
         for row in missing:
             self.metrics.count_shards(row.reason, 1)
--- a/features/sabotage_test.py
+++ b/features/sabotage_test.py
@@ -32,7 +32,7 @@
     def note_nothing(self, query, results, missing):
         query.plan = query.plan._replace(missing=())
 
-    monkeypatch.setattr(gather.Gatherer, "_note_answer", note_nothing)
+    monkeypatch.setattr(gather.Gatherer, "_record_answer", note_nothing)
     original = running.Answer
 
     def build(request_id, snapshot, results, missing):
