--- a/chervilspindle/query/handover.py
+++ b/chervilspindle/query/handover.py
@@ -94,7 +94,7 @@
         if self.pull_by_id.get(row.endpoint_id) == pull:
             return
         self.pull_by_id[row.endpoint_id] = pull
-        self.timers.call_later(SPREAD_S, self._ask, pull)
+        self.timers.call_later(SPREAD_S, self._request_handover, pull)
 
     def hand_over(self, message: messages.HandOverCall, link):
         """Stop serving an endpoint and say how much still runs there."""
@@ -115,7 +115,7 @@
         )
         return messages.HandOverReply(True, running)
 
-    def _ask(self, pull):
+    def _request_handover(self, pull):
         row = self.directory.ownership_by_id.get(pull.endpoint_id)
         if not self._is_awaited(pull, row):
             if self.pull_by_id.get(pull.endpoint_id) == pull:
@@ -123,7 +123,7 @@
             return
         vm = self.directory.vm_by_session.get(row.previous)
         if vm is None or not self.session.is_valid():
-            self.timers.call_later(RETRY_S, self._ask, pull)
+            self.timers.call_later(RETRY_S, self._request_handover, pull)
             return
         call = messages.HandOverCall(*pull, row.previous)
         deferred = self.call(vm, call, CALL_TIMEOUT_S)
@@ -143,7 +143,7 @@
         endpoint = self.directory.endpoint_by_id.get(pull.endpoint_id)
         awaited = endpoint is not None and self._is_awaited(pull, row)
         if not awaited or not reply.granted:
-            self.timers.call_later(RETRY_S, self._ask, pull)
+            self.timers.call_later(RETRY_S, self._request_handover, pull)
             return
         del self.pull_by_id[pull.endpoint_id]
         self.directory.note_handed(pull.endpoint_id, pull.epoch)
@@ -152,4 +152,4 @@
 
     def _failed(self, failure, pull):
         failure.trap(errors.ProblemError)
-        self.timers.call_later(RETRY_S, self._ask, pull)
+        self.timers.call_later(RETRY_S, self._request_handover, pull)
--- a/features/handover_model_test.py
+++ b/features/handover_model_test.py
@@ -51,7 +51,7 @@
 
     def call_later(self, delay_s, callback, *args):
         """Keep a call of the handover desk."""
-        if getattr(callback, "__name__", "") == "_ask":
+        if getattr(callback, "__name__", "") == "_request_handover":
             self.planned.append((callback, args))
 
 
