--- a/chervilspindle/query/entry.py
+++ b/chervilspindle/query/entry.py
@@ -17,8 +17,8 @@
 from chervilspindle.query import explain
 from chervilspindle.query import gather
 from chervilspindle.query import owner as owner_module
+from chervilspindle.query import query_state
 from chervilspindle.query import requests
-from chervilspindle.query import running
 from chervilspindle.query import session as session_module
 from chervilspindle.wire import messages
 
@@ -346,7 +346,7 @@
         services = requests.match_plan_services(
             body.services, grant.plan, self.directory.list_services()
         )
-        return running.QueryRequest(
+        return query_state.QueryRequest(
             request_id,
             grant.customer,
             grant.plan.share,
--- a/chervilspindle/query/gather.py
+++ b/chervilspindle/query/gather.py
@@ -17,7 +17,7 @@
 from chervilspindle.policy import replicas
 from chervilspindle.query import answers
 from chervilspindle.query import directory as directory_module
-from chervilspindle.query import running
+from chervilspindle.query import query_state
 from chervilspindle.wire import messages
 
 TICK_S = 0.002
@@ -91,7 +91,7 @@
         self.wake = None
         self.wake_ms = math.inf
 
-    def submit(self, request: running.QueryRequest) -> defer.Deferred:
+    def submit(self, request: query_state.QueryRequest) -> defer.Deferred:
         """Run a query.
 
         Returns
@@ -102,7 +102,7 @@
         now = self.read_clock()
         plan = self._plan(request, frozenset())
         self._check_room(request, len(plan.shards))
-        query = running.RunningQuery(request, defer.Deferred(), now)
+        query = query_state.RunningQuery(request, defer.Deferred(), now)
         self.query_by_id[request.request_id] = query
         self._schedule(query.due_ms, "deadline", query, None)
         self._start_attempt(query, plan)
@@ -192,7 +192,7 @@
         query.plan = plan
         query.attempt += 1
         query.shards = tuple(
-            running.ShardState(shard, index)
+            query_state.ShardState(shard, index)
             for index, shard in enumerate(plan.shards)
         )
         query.shard_by_send = {}
@@ -244,7 +244,7 @@
                 insist,
             )
             parts_by_session.setdefault(vm.session, []).append(part)
-            shard.outstanding[number] = running.Send(
+            shard.outstanding[number] = query_state.Send(
                 endpoint_id, epoch, vm.peer_address, now
             )
             shard.tried.append(endpoint_id)
@@ -575,7 +575,7 @@
         if missing and (not results or not request.partial):
             query.deferred.errback(answers.build_failure(query, missing))
             return
-        answer = running.Answer(
+        answer = query_state.Answer(
             request.request_id, query.plan.snapshot, results, missing
         )
         query.deferred.callback(answer)
--- a/features/sabotage_test.py
+++ b/features/sabotage_test.py
@@ -16,7 +16,7 @@
 from chervilspindle.query import gather
 from chervilspindle.query import owned
 from chervilspindle.query import owner
-from chervilspindle.query import running
+from chervilspindle.query import query_state
 from chervilspindle.query import session
 from chervilspindle.wire import messages
 from features import fakes
@@ -33,12 +33,12 @@
         query.plan = query.plan._replace(missing=())
 
     monkeypatch.setattr(gather.Gatherer, "_record_answer", note_nothing)
-    original = running.Answer
+    original = query_state.Answer
 
     def build(request_id, snapshot, results, missing):
         return original(request_id, snapshot, results, ())
 
-    monkeypatch.setattr(running, "Answer", build)
+    monkeypatch.setattr(query_state, "Answer", build)
 
 
 def answer_another_caller(monkeypatch):
@@ -53,7 +53,7 @@
             for reply in message.parts:
                 shard = query.shard_by_send.get(reply.send)
                 if shard is not None:
-                    send = running.Send(reply.endpoint_id, 0, "", 0.0)
+                    send = query_state.Send(reply.endpoint_id, 0, "", 0.0)
                     shard.outstanding.setdefault(reply.send, send)
         original(self, message)
 
