--- a/chervilspindle/query/answers.py
+++ b/chervilspindle/query/answers.py
@@ -4,10 +4,12 @@
 from chervilspindle.query import coverage
 
 
-def list_missing(query) -> tuple[coverage.Missing, ...]:
+def list_missing(query) -> tuple[coverage.MissingRange, ...]:
     """Return the ranges that an answer does not cover, with reasons."""
     return query.plan.missing + tuple(
-        coverage.Missing(s.plan.service, s.plan.low, s.plan.high, s.reason)
+        coverage.MissingRange(
+            s.plan.service, s.plan.low, s.plan.high, s.reason
+        )
         for s in query.shards
         if s.value is None
     )
@@ -31,7 +33,7 @@
 
     It is marked as not run only if no part of it can have run.
     """
-    ran = query.ran_before or any(
+    ran = query.earlier_attempt_ran or any(
         s.may_have_run or s.value is not None for s in query.shards
     )
     retry_after = max((s.retry_after_ms for s in query.shards), default=0)
--- a/chervilspindle/query/commands.py
+++ b/chervilspindle/query/commands.py
@@ -20,7 +20,7 @@
 
 CLAIM_TIMEOUT_S = 2.0
 RESOLVE_TIMEOUT_S = 60.0
-LATE_REPLY_S = 5.0
+LATE_REPLY_GRACE_S = 5.0
 IN_PROGRESS_MS = 35000
 MAX_SENDS = 4
 
@@ -69,7 +69,7 @@
         self.call_owner = call_owner
         self.timers = timers
         self.explainer = explainer
-        self.background = 0
+        self.background_calls = 0
 
     @defer.inlineCallbacks
     def run(self, request: CommandRequest):
@@ -81,15 +81,15 @@
             JSON of the value. Fails with `ProblemError`.
         """
         due = self.timers.clock.seconds() + request.deadline_ms / 1000.0
-        endpoint_id = self._choose(request)
+        endpoint_id = self._choose_endpoint(request)
         claim = build_claim(request)
         granted = yield self._claim(request, claim)
         if not granted.granted and granted.claim.attempt != claim.attempt:
-            return self._repeat(request, claim, granted.claim)
+            return self._replay_outcome(request, claim, granted.claim)
         if granted.claim.outcome != "claimed":
-            return self._repeat(request, claim, granted.claim)
+            return self._replay_outcome(request, claim, granted.claim)
         reply = yield self._send(request, endpoint_id, due)
-        return (yield self._conclude(request, reply))
+        return (yield self._return_outcome(request, reply))
 
     @defer.inlineCallbacks
     def _send(self, request, endpoint_id, due):
@@ -111,18 +111,20 @@
             reply = yield self._dispatch(
                 request, endpoint_id, route, remaining_s
             )
-            if reply.dispatched or reply.status not in _ELSEWHERE:
+            if reply.dispatched or reply.status not in _RETRY_ELSEWHERE:
                 return reply
             if len(tried) >= MAX_SENDS:
                 return reply
-            if self.directory.reroute(endpoint_id, route.epoch):
+            if self.directory.invalidate_route(endpoint_id, route.epoch):
                 continue
-            left = [i for i in self._list_replicas(request) if i not in tried]
-            endpoint_id = self.choose_endpoint(left)
+            untried = [
+                i for i in self._list_replicas(request) if i not in tried
+            ]
+            endpoint_id = self.choose_endpoint(untried)
             if endpoint_id is None:
                 return reply
 
-    def _choose(self, request):
+    def _choose_endpoint(self, request):
         endpoint_id = self.choose_endpoint(self._list_replicas(request))
         if endpoint_id is None:
             raise self._build_not_run(request, errors.ErrorKind.NO_ENDPOINT)
@@ -147,28 +149,28 @@
             ) from error
         return reply
 
-    def _repeat(self, request, claim, known: rows.Claim):
+    def _replay_outcome(self, request, claim, earlier: rows.Claim):
         """Answer a resend from what the first attempt left."""
-        self.explainer.note(
+        self.explainer.record(
             request.request_id,
             "claim-refused",
             customer=request.customer,
             claim=claim.claim_id,
-            first_attempt=known.attempt,
-            outcome=known.outcome,
+            first_attempt=earlier.attempt,
+            outcome=earlier.outcome,
         )
-        if known.digest != claim.digest:
+        if earlier.digest != claim.digest:
             raise errors.build_error(
                 errors.ErrorKind.KEY_REUSED,
                 "the idempotency key belongs to another request",
                 request_id=request.request_id,
                 source="header Idempotency-Key",
             )
-        if known.outcome == "done":
-            return known.value
-        if known.outcome == "failed":
-            raise self._build_failed(request, known.value.decode())
-        age = logs.read_wall_ms() - known.created_ms
+        if earlier.outcome == "done":
+            return earlier.value
+        if earlier.outcome == "failed":
+            raise self._build_failed(request, earlier.value.decode())
+        age = logs.read_wall_ms() - earlier.created_ms
         kind = errors.ErrorKind.OUTCOME_UNKNOWN
         if age < IN_PROGRESS_MS:
             kind = errors.ErrorKind.IN_PROGRESS
@@ -181,7 +183,7 @@
 
     def _dispatch(self, request, endpoint_id, route, remaining_s):
         vm, epoch = route
-        self.explainer.note(
+        self.explainer.record(
             request.request_id,
             "command-route",
             customer=request.customer,
@@ -200,33 +202,35 @@
             request.key,
             msgspec.json.encode(request.command),
         )
-        outer = defer.Deferred()
+        caller_reply = defer.Deferred()
         # The reply is awaited longer than the caller is, to be recorded.
-        inner = self.call_owner(vm, message, remaining_s + LATE_REPLY_S)
+        owner_reply = self.call_owner(
+            vm, message, remaining_s + LATE_REPLY_GRACE_S
+        )
         timeout = self.timers.call_later(
-            remaining_s, self._give_up, request, outer
+            remaining_s, self._time_out, request, caller_reply
         )
-        self.background += 1
-        inner.addBoth(self._replied, request, outer, timeout)
-        return outer
+        self.background_calls += 1
+        owner_reply.addBoth(self._handle_reply, request, caller_reply, timeout)
+        return caller_reply
 
-    def _give_up(self, request, outer):
+    def _time_out(self, request, caller_reply):
         kind = errors.ErrorKind.OUTCOME_UNKNOWN.value
-        outer.callback(
+        caller_reply.callback(
             messages.CommandReply(kind, True, 0, messages.EMPTY_VALUE)
         )
 
-    def _replied(self, result, request, outer, timeout):
-        self.background -= 1
+    def _handle_reply(self, result, request, caller_reply, timeout):
+        self.background_calls -= 1
         if not isinstance(result, messages.CommandReply):
-            result = self._read_call_failure(result)
+            result = self._convert_call_failure(result)
         if timeout.active():
             timeout.cancel()
-            outer.callback(result)
+            caller_reply.callback(result)
             return
         self._record(request, result)
 
-    def _read_call_failure(self, failure):
+    def _convert_call_failure(self, failure):
         not_run = False
         if failure.check(errors.ProblemError):
             not_run = failure.value.problem.not_run
@@ -238,8 +242,8 @@
         )
 
     @defer.inlineCallbacks
-    def _conclude(self, request, reply):
-        self.explainer.note(
+    def _return_outcome(self, request, reply):
+        self.explainer.record(
             request.request_id,
             "command-outcome",
             customer=request.customer,
@@ -289,10 +293,10 @@
         )
         done = defer.Deferred()
         timeout = self.timers.call_later(CLAIM_TIMEOUT_S, done.callback, None)
-        self.background += 1
+        self.background_calls += 1
 
         def finish(result):
-            self.background -= 1
+            self.background_calls -= 1
             if timeout.active():
                 timeout.cancel()
                 done.callback(None)
@@ -318,7 +322,7 @@
         )
 
 
-_ELSEWHERE = errors.collect_values(
+_RETRY_ELSEWHERE = errors.collect_values(
     errors.ErrorKind.NOT_OWNER,
     errors.ErrorKind.NO_ENDPOINT,
     errors.ErrorKind.NO_LEASE,
--- a/chervilspindle/query/coverage.py
+++ b/chervilspindle/query/coverage.py
@@ -20,7 +20,7 @@
     endpoint_ids: tuple[str, ...]
 
 
-class Missing(typing.NamedTuple):
+class MissingRange(typing.NamedTuple):
     """A key range of a service that an answer lacks, and why."""
 
     service: str
@@ -34,7 +34,7 @@
 
     snapshot: int
     shards: tuple[Shard, ...]
-    missing: tuple[Missing, ...]
+    missing: tuple[MissingRange, ...]
 
 
 def name_shard(low: int, high: int) -> str:
@@ -74,7 +74,7 @@
         for endpoint in endpoints
         for holding in endpoint.holdings
     }
-    best = SnapshotPlan(0, (), _miss_all(endpoints_by_service))
+    best = SnapshotPlan(0, (), _list_all_missing(endpoints_by_service))
     best_covered = -1
     for snapshot in sorted(snapshots - excluded, reverse=True):
         plan = _plan_snapshot(
@@ -110,9 +110,11 @@
     return tiles
 
 
-def _miss_all(endpoints_by_service):
+def _list_all_missing(endpoints_by_service):
     return tuple(
-        Missing(service, 0, rows.KEY_SPACE, errors.ErrorKind.NO_ENDPOINT.value)
+        MissingRange(
+            service, 0, rows.KEY_SPACE, errors.ErrorKind.NO_ENDPOINT.value
+        )
         for service in sorted(endpoints_by_service)
     )
 
@@ -132,7 +134,7 @@
                 shards.append(Shard(service, low, high, tuple(holders)))
             else:
                 reason = errors.ErrorKind.NO_ENDPOINT.value
-                missing.append(Missing(service, low, high, reason))
+                missing.append(MissingRange(service, low, high, reason))
     return SnapshotPlan(snapshot, tuple(shards), tuple(missing))
 
 
--- a/chervilspindle/query/coverage_test.py
+++ b/chervilspindle/query/coverage_test.py
@@ -35,58 +35,60 @@
 def test_newest_snapshot_that_covers_all_is_pinned():
     whole = (1, 0, rows.KEY_SPACE)
     part = (2, 0, HALF)
-    found = plan([build_endpoint("a", [whole, part])])
-    assert found.snapshot == 1
-    assert not found.missing
+    result = plan([build_endpoint("a", [whole, part])])
+    assert result.snapshot == 1
+    assert not result.missing
 
 
 def test_repartitioned_snapshot_is_taken_once_it_is_whole():
     whole = (1, 0, rows.KEY_SPACE)
     left, right = (2, 0, HALF), (2, HALF, rows.KEY_SPACE)
-    found = plan(
+    result = plan(
         [build_endpoint("a", [whole, left]), build_endpoint("b", [right])]
     )
-    assert found.snapshot == 2
-    assert [(s.low, s.high) for s in found.shards] == [
+    assert result.snapshot == 2
+    assert [(s.low, s.high) for s in result.shards] == [
         (0, HALF),
         (HALF, rows.KEY_SPACE),
     ]
 
 
 def test_lost_shard_is_missed():
-    found = plan(
+    result = plan(
         [
             build_endpoint("a", [(1, 0, HALF)]),
             build_endpoint("b", [(1, HALF, rows.KEY_SPACE)], "lost"),
         ]
     )
-    assert [(m.low, m.high) for m in found.missing] == [(HALF, rows.KEY_SPACE)]
+    assert [(m.low, m.high) for m in result.missing] == [
+        (HALF, rows.KEY_SPACE)
+    ]
 
 
 def test_service_without_endpoints_is_missed():
-    found = coverage.plan_query({"s": [], "t": []}, is_ready)
-    assert {m.service for m in found.missing} == {"s", "t"}
+    result = coverage.plan_query({"s": [], "t": []}, is_ready)
+    assert {m.service for m in result.missing} == {"s", "t"}
 
 
 def test_one_snapshot_for_all_services():
     whole = rows.KEY_SPACE
-    found = coverage.plan_query(
+    result = coverage.plan_query(
         {
             "s": [build_endpoint("a", [(1, 0, whole), (2, 0, whole)])],
             "t": [build_endpoint("b", [(1, 0, whole)])],
         },
         is_ready,
     )
-    assert found.snapshot == 1
-    assert len(found.shards) == 2
+    assert result.snapshot == 1
+    assert len(result.shards) == 2
 
 
 def test_key_restricts_to_its_shard():
     endpoints = [
         build_endpoint("a", [(1, 0, HALF), (1, HALF, rows.KEY_SPACE)])
     ]
-    found = plan(endpoints, key_slot=HALF + 1)
-    assert [(s.low, s.high) for s in found.shards] == [(HALF, rows.KEY_SPACE)]
+    result = plan(endpoints, key_slot=HALF + 1)
+    assert [(s.low, s.high) for s in result.shards] == [(HALF, rows.KEY_SPACE)]
 
 
 def test_excluded_snapshot_is_not_taken():
--- a/chervilspindle/query/directory.py
+++ b/chervilspindle/query/directory.py
@@ -10,7 +10,7 @@
 LOGGER = logging.getLogger(__name__)
 
 EMPTY_LISTS = rows.Lists(0, {}, {})
-PLANS_CACHED = 512
+MAX_CACHED_PLANS = 512
 
 
 def hash_key(key: str) -> int:
@@ -36,12 +36,12 @@
         self.version = 0
         self.lists = EMPTY_LISTS
         self.vm_by_session = {}
-        self.ready_vms = 0
+        self.ready_vm_count = 0
         self.endpoint_by_id = {}
         self.ownership_by_id = {}
         self.ids_by_service = {}
         self.plan_by_query = {}
-        self.handed_epoch_by_id = {}
+        self.handed_over_epoch_by_id = {}
         self.listeners = []
         self.sole_owner = ""
 
@@ -56,18 +56,18 @@
         if delta.lists and delta.lists.revision < self.lists.revision:
             LOGGER.error("refused an older revision of the lists")
             return False
-        touched = set()
+        changed_ids = set()
         if delta.full:
-            touched.update(self.endpoint_by_id)
+            changed_ids.update(self.endpoint_by_id)
             self._clear()
         self.version = delta.version
         if delta.lists is not None:
             self.lists = merge_lists(self.lists, delta.lists)
-        self._merge(delta, touched)
-        if touched or delta.vms or delta.gone_vms or delta.lists:
+        self._apply_rows(delta, changed_ids)
+        if changed_ids or delta.vms or delta.gone_vms or delta.lists:
             self.plan_by_query.clear()
         for listener in self.listeners:
-            listener(touched)
+            listener(changed_ids)
         return True
 
     def list_services(self):
@@ -86,18 +86,18 @@
         ownership = self.ownership_by_id.get(endpoint_id)
         if ownership is None:
             return None
-        handed = self.handed_epoch_by_id.get(endpoint_id)
-        before = self.vm_by_session.get(ownership.previous)
-        if before is not None and handed != ownership.epoch:
-            return Route(before, ownership.epoch - 1)
+        handed_over_epoch = self.handed_over_epoch_by_id.get(endpoint_id)
+        previous_vm = self.vm_by_session.get(ownership.previous)
+        if previous_vm is not None and handed_over_epoch != ownership.epoch:
+            return Route(previous_vm, ownership.epoch - 1)
         vm = self.vm_by_session.get(ownership.session)
         return Route(vm, ownership.epoch) if vm is not None else None
 
-    def note_handed(self, endpoint_id: str, epoch: int):
+    def record_handover(self, endpoint_id: str, epoch: int):
         """Take in that an endpoint was handed over under a new epoch."""
-        self.handed_epoch_by_id[endpoint_id] = epoch
+        self.handed_over_epoch_by_id[endpoint_id] = epoch
 
-    def reroute(self, endpoint_id: str, epoch: int) -> bool:
+    def invalidate_route(self, endpoint_id: str, epoch: int) -> bool:
         """Take in that whoever served under `epoch` does so no longer.
 
         Returns
@@ -109,7 +109,7 @@
         if ownership is None or ownership.epoch <= epoch:
             return False
         if ownership.previous and ownership.epoch == epoch + 1:
-            self.note_handed(endpoint_id, ownership.epoch)
+            self.record_handover(endpoint_id, ownership.epoch)
         return True
 
     def is_usable(self, endpoint) -> bool:
@@ -134,7 +134,7 @@
         plan = coverage.plan_query(
             endpoints_by_service, self.is_usable, key_slot, excluded
         )
-        if len(self.plan_by_query) >= PLANS_CACHED:
+        if len(self.plan_by_query) >= MAX_CACHED_PLANS:
             self.plan_by_query.clear()
         self.plan_by_query[query] = plan
         return plan
@@ -145,7 +145,7 @@
         self.ownership_by_id = {}
         self.ids_by_service = {}
 
-    def _merge(self, delta, touched):
+    def _apply_rows(self, delta, changed_ids):
         """Take over the rows of a delta and note the endpoints they touch.
 
         The cost follows the size of the delta, not that of the tables.
@@ -156,25 +156,25 @@
             self.vm_by_session.pop(session, None)
         if delta.vms or delta.gone_vms or delta.full:
             states = [vm.state for vm in self.vm_by_session.values()]
-            self.ready_vms = states.count("ready")
+            self.ready_vm_count = states.count("ready")
         for endpoint in delta.endpoints:
-            self._put_endpoint(endpoint)
-            touched.add(endpoint.endpoint_id)
+            self._store_endpoint(endpoint)
+            changed_ids.add(endpoint.endpoint_id)
         for endpoint_id in delta.gone_endpoints:
-            self._drop_endpoint(endpoint_id)
-            touched.add(endpoint_id)
+            self._remove_endpoint(endpoint_id)
+            changed_ids.add(endpoint_id)
         for ownership in delta.ownerships:
-            touched.add(ownership.endpoint_id)
+            changed_ids.add(ownership.endpoint_id)
             if not ownership.previous:
-                self.handed_epoch_by_id.pop(ownership.endpoint_id, None)
+                self.handed_over_epoch_by_id.pop(ownership.endpoint_id, None)
             if not self.sole_owner:
                 self.ownership_by_id[ownership.endpoint_id] = ownership
 
-    def _put_endpoint(self, endpoint):
+    def _store_endpoint(self, endpoint):
         endpoint_id = endpoint.endpoint_id
-        known = self.endpoint_by_id.get(endpoint_id)
-        if known is not None and known.service != endpoint.service:
-            self._drop_endpoint(endpoint_id)
+        current = self.endpoint_by_id.get(endpoint_id)
+        if current is not None and current.service != endpoint.service:
+            self._remove_endpoint(endpoint_id)
         self.endpoint_by_id[endpoint_id] = endpoint
         ids = self.ids_by_service.setdefault(endpoint.service, {})
         ids[endpoint_id] = True
@@ -183,13 +183,13 @@
                 endpoint_id, self.sole_owner, 1
             )
 
-    def _drop_endpoint(self, endpoint_id):
+    def _remove_endpoint(self, endpoint_id):
         """Forget an endpoint; its service stays known and is missed."""
-        known = self.endpoint_by_id.pop(endpoint_id, None)
+        current = self.endpoint_by_id.pop(endpoint_id, None)
         self.ownership_by_id.pop(endpoint_id, None)
-        self.handed_epoch_by_id.pop(endpoint_id, None)
-        if known is not None:
-            self.ids_by_service[known.service].pop(endpoint_id, None)
+        self.handed_over_epoch_by_id.pop(endpoint_id, None)
+        if current is not None:
+            self.ids_by_service[current.service].pop(endpoint_id, None)
 
 
 def merge_lists(lists: rows.Lists, delta) -> rows.Lists:
--- a/chervilspindle/query/entry.py
+++ b/chervilspindle/query/entry.py
@@ -22,9 +22,9 @@
 from chervilspindle.query import session as session_module
 from chervilspindle.wire import messages
 
-FORWARD_S = 0.1
-STATE_S = 1.0
-DRAIN_CHECK_S = 0.05
+LOAD_FORWARD_DELAY_S = 0.1
+STATE_METRICS_PERIOD_S = 1.0
+DRAIN_CHECK_PERIOD_S = 0.05
 READY_LINGER_S = 1.5
 EXPLAIN_TIMEOUT_S = 1.0
 STATUS_TIMEOUT_S = 2.0
@@ -127,16 +127,18 @@
             self.explainer,
         )
         self.local_target = LocalTarget(self.gatherer)
-        self.loads_by_session = {}
+        self.pending_loads_by_session = {}
         self.bucket_by_customer = {}
         self.in_flight = 0
-        self.refuses = False
-        network.lost_listeners.append(self.gatherer.lose_owner)
+        self.is_rejecting = False
+        network.lost_listeners.append(self.gatherer.handle_connection_lost)
 
     def start(self):
         """Start the session and the periodic work."""
         self.session.start()
-        self.timers.subscribe("entry-state", STATE_S, self._watch_state)
+        self.timers.subscribe(
+            "entry-state", STATE_METRICS_PERIOD_S, self._update_state_metrics
+        )
 
     def is_ready(self) -> bool:
         """Tell whether the balancer may send callers here."""
@@ -157,7 +159,7 @@
         grant = self._admit(header, request_id)
         body = requests.decode_body(data, requests.QueryBody)
         request = self._build_query(request_id, grant, body)
-        answer = yield self._track(
+        answer = yield self._run_measured(
             "query", grant, lambda: self.gatherer.submit(request)
         )
         return answer
@@ -175,18 +177,18 @@
         grant = self._admit(header, request_id)
         body = requests.decode_body(data, requests.CommandBody)
         request = self._build_command(request_id, grant, body, idempotency_key)
-        value = yield self._track(
+        value = yield self._run_measured(
             "command", grant, lambda: self.commands.run(request)
         )
         return request_id, value
 
     def handle_announcement(self, endpoint: rows.Endpoint, in_use: int):
         """Take in what an endpoint announced."""
-        known = self.directory.endpoint_by_id.get(endpoint.endpoint_id)
-        if known is not None and known.incarnation > endpoint.incarnation:
+        current = self.directory.endpoint_by_id.get(endpoint.endpoint_id)
+        if current is not None and current.incarnation > endpoint.incarnation:
             return
-        if known is None or rows.is_changed(endpoint, known):
-            if known is None or rows.is_newer(endpoint, known):
+        if current is None or rows.is_changed(endpoint, current):
+            if current is None or rows.is_newer(endpoint, current):
                 self.session.report(endpoint)
         load = messages.Load(
             endpoint.endpoint_id,
@@ -200,11 +202,11 @@
             return
         vm = route.vm
         if vm.session == self.session.vm.session:
-            self.owner.note_load(load)
+            self.owner.handle_load(load)
             return
-        if not self.loads_by_session:
-            self.timers.call_later(FORWARD_S, self._forward_loads)
-        self.loads_by_session.setdefault(vm.session, []).append(load)
+        if not self.pending_loads_by_session:
+            self.timers.call_later(LOAD_FORWARD_DELAY_S, self._forward_loads)
+        self.pending_loads_by_session.setdefault(vm.session, []).append(load)
         if endpoint.state == "draining":
             self._forward_loads()
 
@@ -275,9 +277,9 @@
         # Callers are served until the balancer has seen the failing
         # readiness check and sends no more of them.
         yield self._pause(READY_LINGER_S)
-        self.refuses = True
+        self.is_rejecting = True
         while self.timers.clock.seconds() < due and self._is_busy():
-            yield self._pause(DRAIN_CHECK_S)
+            yield self._pause(DRAIN_CHECK_PERIOD_S)
         yield self.session.leave()
         self.lifecycle.drained()
         logs.log_decision("drained", session=self.session.vm.session)
@@ -285,12 +287,12 @@
     def _is_busy(self):
         return bool(
             self.in_flight
-            or self.commands.background
+            or self.commands.background_calls
             or self.owner.count_work()
-            or self._has_heirs()
+            or self._can_hand_over()
         )
 
-    def _has_heirs(self):
+    def _can_hand_over(self):
         """Tell whether endpoints of this VM are still to be handed over."""
         if not self.owner.owned_by_id or not self.session.is_valid():
             return False
@@ -301,7 +303,7 @@
         )
 
     def _admit(self, header, request_id):
-        if self.refuses:
+        if self.is_rejecting:
             raise errors.build_error(
                 errors.ErrorKind.DRAINING,
                 "this VM is shutting down",
@@ -321,7 +323,7 @@
         rate = grant.plan.rate
         if not rate:
             return
-        vms = self.directory.ready_vms
+        vms = self.directory.ready_vm_count
         buckets = rates.forget_oldest(self.bucket_by_customer)
         verdict = rates.take(
             buckets.get(grant.customer), rate, max(1, vms), self.read_clock()
@@ -384,7 +386,7 @@
         )
 
     @defer.inlineCallbacks
-    def _track(self, kind, grant, start):
+    def _run_measured(self, kind, grant, start):
         started = self.read_clock()
         self.in_flight += 1
         answer = "ok"
@@ -413,14 +415,17 @@
         return handle_peer(message, self, self.local_target)
 
     def _forward_loads(self):
-        loads_by_session, self.loads_by_session = self.loads_by_session, {}
-        for session, loads in loads_by_session.items():
+        pending_loads_by_session, self.pending_loads_by_session = (
+            self.pending_loads_by_session,
+            {},
+        )
+        for session, loads in pending_loads_by_session.items():
             vm = self.directory.vm_by_session.get(session)
             if vm is not None:
                 report = messages.LoadReport(tuple(loads))
                 self.network.send(vm.peer_address, report)
 
-    def _watch_state(self):
+    def _update_state_metrics(self):
         if self.session.is_valid():
             self.lifecycle.lease_gained()
         self.metrics.set_state("lease_ms", self.session.get_lease_ms())
@@ -466,7 +471,7 @@
 @handle_peer.register
 def _handle_load_report(message: messages.LoadReport, entry: Entry, link):
     for load in message.loads:
-        entry.owner.note_load(load)
+        entry.owner.handle_load(load)
 
 
 @handle_peer.register
@@ -476,7 +481,7 @@
 
 @handle_peer.register
 def _handle_slots_left(message: messages.SlotsLeft, entry: Entry, link):
-    entry.owner.note_slots_left(message)
+    entry.owner.handle_slots_left(message)
 
 
 @handle_peer.register
--- a/chervilspindle/query/explain.py
+++ b/chervilspindle/query/explain.py
@@ -5,7 +5,7 @@
 
 from chervilspindle.core import logs
 
-REQUESTS_KEPT = 5000
+MAX_REQUESTS = 5000
 
 
 class Explainer:
@@ -14,13 +14,13 @@
     def __init__(self):
         self.decisions_by_id = collections.OrderedDict()
 
-    def note(self, request_id: str, decision: str, **fields):
+    def record(self, request_id: str, decision: str, **fields):
         """Log a decision and remember it."""
         logs.log_decision(decision, request_id=request_id, **fields)
         decisions = self.decisions_by_id.get(request_id)
         if decisions is None:
             decisions = self.decisions_by_id[request_id] = []
-            if len(self.decisions_by_id) > REQUESTS_KEPT:
+            if len(self.decisions_by_id) > MAX_REQUESTS:
                 self.decisions_by_id.popitem(last=False)
         decisions.append({"decision": decision, **fields})
 
--- a/chervilspindle/query/gather.py
+++ b/chervilspindle/query/gather.py
@@ -68,8 +68,8 @@
         self.explainer = explainer
         self.metrics = metrics
         self.random = random
-        self.may_hedge = "no-hedge" not in baselines
-        self.chooses_at_random = "random-replica" in baselines
+        self.is_hedging = "no-hedge" not in baselines
+        self.is_random = "random-replica" in baselines
         self.hedge_budget = hedging.build_budget(
             extra_load_share, hedging.HEDGE_BURST
         )
@@ -85,11 +85,11 @@
         self.parts_by_customer = {}
         self.weight_by_customer = {}
         self.parts_in_flight = 0
-        self.agenda = []
-        self.agenda_number = 0
+        self.timed_events = []
+        self.event_number = 0
         self.timers = timers
-        self.wake = None
-        self.wake_ms = math.inf
+        self.tick_call = None
+        self.next_tick_ms = math.inf
 
     def submit(self, request: query_state.QueryRequest) -> defer.Deferred:
         """Run a query.
@@ -100,8 +100,8 @@
             Fails with `ProblemError`.
         """
         now = self.read_clock()
-        plan = self._plan(request, frozenset())
-        self._check_room(request, len(plan.shards))
+        plan = self._plan_query(request, frozenset())
+        self._check_capacity(request, len(plan.shards))
         query = query_state.RunningQuery(request, defer.Deferred(), now)
         self.query_by_id[request.request_id] = query
         self._schedule(query.due_ms, "deadline", query, None)
@@ -118,24 +118,24 @@
                 return
             if query.attempt != message.attempt:
                 return
-            self._take_reply(query, reply)
+            self._handle_reply(query, reply)
         self._finish_if_settled(query)
 
-    def lose_owner(self, address: str):
+    def handle_connection_lost(self, address: str):
         """Handle the loss of a link: what was sent on it may have run."""
         for query in list(self.query_by_id.values()):
             for shard in query.shards:
                 for number, send in list(shard.outstanding.items()):
                     if send.address == address:
-                        self._lose_part(query, shard, number)
+                        self._fail_part(query, shard, number)
             self._finish_if_settled(query)
 
     def tick(self):
         """Run what is due: hedges, retries and deadlines."""
-        self.wake_ms = math.inf
+        self.next_tick_ms = math.inf
         now = self.read_clock()
-        while self.agenda and self.agenda[0][0] <= now:
-            _, _, kind, query, item = heapq.heappop(self.agenda)
+        while self.timed_events and self.timed_events[0][0] <= now:
+            _, _, kind, query, item = heapq.heappop(self.timed_events)
             if query.request.request_id not in self.query_by_id:
                 continue
             if kind == "deadline":
@@ -143,10 +143,10 @@
             elif item[0] != query.attempt:
                 continue
             elif kind == "retry":
-                self._insist(query, query.shards[item[1]])
+                self._retry_paused(query, query.shards[item[1]])
             else:
                 self._hedge(query, query.shards[item[1]], kind == "rescue")
-        self._plan_wake()
+        self._schedule_tick()
 
     def choose_endpoint(self, endpoint_ids):
         """Return the replica with the least expected finish, or None."""
@@ -157,21 +157,21 @@
         ]
         if not candidates:
             return None
-        if self.chooses_at_random:
+        if self.is_random:
             return self.random.choice(candidates).endpoint_id
         best = replicas.choose_replica(
             candidates, self.read_clock(), self.random.random
         )
         return best.endpoint_id
 
-    def _plan(self, request, excluded):
+    def _plan_query(self, request, excluded):
         key = request.query.get("key")
         slot = None
         if isinstance(key, str):
             slot = directory_module.hash_key(key)
         return self.directory.plan_query(request.services, slot, excluded)
 
-    def _check_room(self, request, parts):
+    def _check_capacity(self, request, parts):
         own = self.parts_by_customer.get(request.customer, 0)
         active = sum(
             self.weight_by_customer[c]
@@ -196,10 +196,10 @@
             for index, shard in enumerate(plan.shards)
         )
         query.shard_by_send = {}
-        query.open_count = len(query.shards)
-        self._count_parts(query.request, len(query.shards))
+        query.unsettled_count = len(query.shards)
+        self._add_parts_in_flight(query.request, len(query.shards))
         request = query.request
-        self.explainer.note(
+        self.explainer.record(
             request.request_id,
             "plan",
             customer=request.customer,
@@ -253,7 +253,7 @@
             self._schedule_hedge(query, shard, now)
         request = query.request
         for session, parts in parts_by_session.items():
-            self.explainer.note(
+            self.explainer.record(
                 request.request_id,
                 "route",
                 customer=request.customer,
@@ -275,7 +275,7 @@
             self.send(self.directory.vm_by_session[session], message)
 
     def _schedule_hedge(self, query, shard, now, kind="hedge"):
-        if not self.may_hedge or len(shard.plan.endpoint_ids) < 2:
+        if not self.is_hedging or len(shard.plan.endpoint_ids) < 2:
             return
         delay = hedging.get_delay_ms(self.lateness, shard.plan.service)
         if now + delay < query.due_ms:
@@ -283,21 +283,26 @@
             self._schedule(now + delay, kind, query, item)
 
     def _schedule(self, due_ms, kind, query, item):
-        self.agenda_number += 1
+        self.event_number += 1
         heapq.heappush(
-            self.agenda, (due_ms, self.agenda_number, kind, query, item)
+            self.timed_events, (due_ms, self.event_number, kind, query, item)
         )
-        self._plan_wake()
+        self._schedule_tick()
 
-    def _plan_wake(self):
+    def _schedule_tick(self):
         """Have `tick` run when the first item of the agenda is due."""
-        if not self.agenda or self.agenda[0][0] >= self.wake_ms:
+        if (
+            not self.timed_events
+            or self.timed_events[0][0] >= self.next_tick_ms
+        ):
             return
-        if self.wake is not None and self.wake.active():
-            self.wake.cancel()
-        self.wake_ms = self.agenda[0][0]
-        delay_s = (self.wake_ms - self.read_clock()) / 1000.0
-        self.wake = self.timers.call_later(max(delay_s, TICK_S), self.tick)
+        if self.tick_call is not None and self.tick_call.active():
+            self.tick_call.cancel()
+        self.next_tick_ms = self.timed_events[0][0]
+        delay_s = (self.next_tick_ms - self.read_clock()) / 1000.0
+        self.tick_call = self.timers.call_later(
+            max(delay_s, TICK_S), self.tick
+        )
 
     def _hedge(self, query, shard, is_rescue):
         """Send a late part to another replica, if a budget allows it.
@@ -329,7 +334,9 @@
     def _is_straggler(self, query, shard):
         delay = hedging.get_delay_ms(self.lateness, shard.plan.service)
         late = (self.read_clock() - shard.sent_ms) / delay
-        return hedging.is_straggler(len(query.shards), query.open_count, late)
+        return hedging.is_straggler(
+            len(query.shards), query.unsettled_count, late
+        )
 
     def _spend_hedge(self, is_rescue):
         if is_rescue:
@@ -340,7 +347,7 @@
 
     def _refuse_hedge(self, query, shard, endpoint_id, is_rescue):
         self.metrics.count_refused_hedge()
-        self.explainer.note(
+        self.explainer.record(
             query.request.request_id,
             "hedge-refused",
             endpoint=endpoint_id,
@@ -361,7 +368,7 @@
             endpoint_id = self.choose_endpoint(shard.plan.endpoint_ids)
         return endpoint_id
 
-    def _take_reply(self, query, reply):
+    def _handle_reply(self, query, reply):
         shard = query.shard_by_send.get(reply.send)
         if shard is None or reply.send not in shard.outstanding:
             return
@@ -376,7 +383,7 @@
             reply.backlog_ms,
             now,
         )
-        if reply.status in _UNHEALTHY:
+        if reply.status in _ENDPOINT_FAILURES:
             self._update_stats(reply.endpoint_id, replicas.mark_failed, now)
         shard.may_have_run = shard.may_have_run or reply.dispatched
         if shard.settled:
@@ -387,9 +394,9 @@
         shard.retry_after_ms = max(shard.retry_after_ms, reply.retry_after_ms)
         shard.reason = reply.status
         if reply.status == errors.ErrorKind.SNAPSHOT_GONE.value:
-            self._restart(query, shard)
+            self._restart_on_other_snapshot(query, shard)
             return
-        self._retry_or_miss(query, shard, reply.dispatched)
+        self._retry_or_settle(query, shard, reply.dispatched)
 
     def _follow_handover(self, query, shard, send, reply):
         """Send a part on to the new owner of an endpoint.
@@ -401,7 +408,7 @@
             return False
         if len(shard.tried) >= MAX_SENDS:
             return False
-        if not self.directory.reroute(send.endpoint_id, send.epoch):
+        if not self.directory.invalidate_route(send.endpoint_id, send.epoch):
             return False
         if not self._is_usable(send.endpoint_id):
             return False
@@ -412,7 +419,7 @@
     def _settle_value(self, query, shard, reply, now):
         shard.value = reply.value
         shard.settled = True
-        query.open_count -= 1
+        query.unsettled_count -= 1
         self.lateness = hedging.note_latency(
             self.lateness,
             shard.plan.service,
@@ -424,9 +431,9 @@
     def _settle_missing(self, query, shard, reason):
         shard.reason = reason
         shard.settled = True
-        query.open_count -= 1
+        query.unsettled_count -= 1
 
-    def _lose_part(self, query, shard, number):
+    def _fail_part(self, query, shard, number):
         send = shard.outstanding.pop(number, None)
         if send is None:
             return
@@ -436,9 +443,9 @@
         shard.may_have_run = True
         if not shard.settled:
             shard.reason = errors.ErrorKind.CONNECTION_LOST.value
-            self._retry_or_miss(query, shard, True)
+            self._retry_or_settle(query, shard, True)
 
-    def _retry_or_miss(self, query, shard, dispatched):
+    def _retry_or_settle(self, query, shard, dispatched):
         """Retry a failed part once more if there is reason to hope."""
         if shard.outstanding:
             return
@@ -468,7 +475,7 @@
         refuses parts without running them, so trying again costs endpoints
         nothing.
         """
-        if shard.reason not in _MOMENTARY or len(shard.tried) >= MAX_SENDS:
+        if shard.reason not in _TRANSIENT or len(shard.tried) >= MAX_SENDS:
             return False
         if now + RETRY_PAUSE_MS >= query.due_ms:
             return False
@@ -476,7 +483,7 @@
         self._schedule(now + RETRY_PAUSE_MS, "retry", query, item)
         return True
 
-    def _insist(self, query, shard):
+    def _retry_paused(self, query, shard):
         """Try a shard again that was refused everywhere."""
         if shard.settled or shard.outstanding:
             return
@@ -502,11 +509,11 @@
             return None
         return self.choose_endpoint(shard.plan.endpoint_ids)
 
-    def _restart(self, query, shard):
+    def _restart_on_other_snapshot(self, query, shard):
         """Start again on another snapshot; parts of the old one are void."""
         now = self.read_clock()
         excluded = query.excluded | {query.plan.snapshot}
-        plan = self._plan(query.request, excluded)
+        plan = self._plan_query(query.request, excluded)
         if query.attempt >= MAX_ATTEMPTS or not plan.shards:
             self._settle_missing(query, shard, shard.reason)
             return
@@ -514,11 +521,11 @@
             self._settle_missing(query, shard, shard.reason)
             return
         query.excluded = excluded
-        query.ran_before = query.ran_before or any(
+        query.earlier_attempt_ran = query.earlier_attempt_ran or any(
             s.may_have_run or s.outstanding for s in query.shards
         )
         self._cancel_parts(query, query.shards)
-        self._count_parts(query.request, -len(query.shards))
+        self._add_parts_in_flight(query.request, -len(query.shards))
         self._start_attempt(query, plan)
 
     def _cancel_parts(self, query, shards):
@@ -551,7 +558,7 @@
     def _finish_if_settled(self, query):
         if query.request.request_id not in self.query_by_id:
             return
-        if query.open_count == 0:
+        if query.unsettled_count == 0:
             self._finish(query)
         elif not query.request.partial and any(
             s.settled and s.value is None for s in query.shards
@@ -562,12 +569,12 @@
         """Give the final answer, whole or with what is missing."""
         request = query.request
         del self.query_by_id[request.request_id]
-        self._count_parts(request, -len(query.shards))
+        self._add_parts_in_flight(request, -len(query.shards))
         deadline = errors.ErrorKind.DEADLINE.value
         for shard in query.shards:
             if not shard.settled:
                 shard.reason = deadline
-                self._mark_failed(shard)
+                self._mark_waiting_failed(shard)
         self._cancel_parts(query, query.shards)
         missing = answers.list_missing(query)
         results = answers.list_results(query)
@@ -580,7 +587,7 @@
         )
         query.deferred.callback(answer)
 
-    def _mark_failed(self, shard):
+    def _mark_waiting_failed(self, shard):
         """Avoid for a while the endpoints that kept a shard waiting."""
         now = self.read_clock()
         for send in shard.outstanding.values():
@@ -590,7 +597,7 @@
         self.metrics.count_shards("ok", len(results))
         for row in missing:
             self.metrics.count_shards(row.reason, 1)
-        self.explainer.note(
+        self.explainer.record(
             query.request.request_id,
             "answer",
             customer=query.request.customer,
@@ -602,7 +609,7 @@
             elapsed_ms=round(self.read_clock() - query.started_ms, 2),
         )
 
-    def _count_parts(self, request, count):
+    def _add_parts_in_flight(self, request, count):
         self.parts_in_flight += count
         left = self.parts_by_customer.get(request.customer, 0) + count
         if left > 0:
@@ -633,11 +640,11 @@
         )
 
 
-_MOMENTARY = errors.collect_values(
+_TRANSIENT = errors.collect_values(
     errors.ErrorKind.NO_ENDPOINT, errors.ErrorKind.NOT_OWNER
 )
 
-_UNHEALTHY = errors.collect_values(
+_ENDPOINT_FAILURES = errors.collect_values(
     errors.ErrorKind.NO_ENDPOINT,
     errors.ErrorKind.NOT_OWNER,
     errors.ErrorKind.NO_LEASE,
--- a/chervilspindle/query/handover.py
+++ b/chervilspindle/query/handover.py
@@ -16,19 +16,19 @@
 from chervilspindle.core import rows
 from chervilspindle.wire import messages
 
-SPREAD_S = 1.2  # longer than the period of heartbeats
+GRANT_PROPAGATION_S = 1.2  # longer than the period of heartbeats
 CALL_TIMEOUT_S = 0.5
 RETRY_S = 0.3
 
 
-class Pull(typing.NamedTuple):
+class PendingHandover(typing.NamedTuple):
     """An endpoint that this VM waits for, and under which epoch."""
 
     endpoint_id: str
     epoch: int
 
 
-def may_hold(row: rows.Ownership | None, own: str, epoch: int) -> bool:
+def may_serve(row: rows.Ownership | None, own: str, epoch: int) -> bool:
     """Tell whether a session may go on serving under an epoch.
 
     Parameters
@@ -66,7 +66,7 @@
         self.session = session
         self.call = call
         self.timers = timers
-        self.pull_by_id = {}
+        self.pending_by_id = {}
         self.released_epoch_by_id = {}
 
     def get_serving_epoch(self, row: rows.Ownership) -> int:
@@ -85,16 +85,18 @@
             return row.epoch
         return 0
 
-    def watch(self, row: rows.Ownership | None):
+    def schedule_request(self, row: rows.Ownership | None):
         """Plan to ask for an endpoint that another session still serves."""
         own = self.session.vm.session
         if row is None or row.session != own or not row.previous:
             return
-        pull = Pull(row.endpoint_id, row.epoch)
-        if self.pull_by_id.get(row.endpoint_id) == pull:
+        pending = PendingHandover(row.endpoint_id, row.epoch)
+        if self.pending_by_id.get(row.endpoint_id) == pending:
             return
-        self.pull_by_id[row.endpoint_id] = pull
-        self.timers.call_later(SPREAD_S, self._request_handover, pull)
+        self.pending_by_id[row.endpoint_id] = pending
+        self.timers.call_later(
+            GRANT_PROPAGATION_S, self._request_handover, pending
+        )
 
     def hand_over(self, message: messages.HandOverCall, link):
         """Stop serving an endpoint and say how much still runs there."""
@@ -103,7 +105,7 @@
         endpoint_id = message.endpoint_id
         given = self.released_epoch_by_id.get(endpoint_id, 0)
         self.released_epoch_by_id[endpoint_id] = max(given, message.epoch)
-        self.directory.note_handed(endpoint_id, message.epoch)
+        self.directory.record_handover(endpoint_id, message.epoch)
         running = self.owner.release_to_successor(
             endpoint_id, message.epoch, link
         )
@@ -115,41 +117,44 @@
         )
         return messages.HandOverReply(True, running)
 
-    def _request_handover(self, pull):
-        row = self.directory.ownership_by_id.get(pull.endpoint_id)
-        if not self._is_awaited(pull, row):
-            if self.pull_by_id.get(pull.endpoint_id) == pull:
-                del self.pull_by_id[pull.endpoint_id]
+    def _request_handover(self, pending):
+        row = self.directory.ownership_by_id.get(pending.endpoint_id)
+        if not self._is_pending(pending, row):
+            if self.pending_by_id.get(pending.endpoint_id) == pending:
+                del self.pending_by_id[pending.endpoint_id]
             return
         vm = self.directory.vm_by_session.get(row.previous)
         if vm is None or not self.session.is_valid():
-            self.timers.call_later(RETRY_S, self._request_handover, pull)
+            self.timers.call_later(RETRY_S, self._request_handover, pending)
             return
-        call = messages.HandOverCall(*pull, row.previous)
+        call = messages.HandOverCall(*pending, row.previous)
         deferred = self.call(vm, call, CALL_TIMEOUT_S)
         deferred.addCallbacks(
-            self._answered, self._failed, (pull,), errbackArgs=(pull,)
+            self._handle_reply,
+            self._handle_failure,
+            (pending,),
+            errbackArgs=(pending,),
         )
 
-    def _is_awaited(self, pull, row):
-        if row is None or not row.previous or row.epoch != pull.epoch:
+    def _is_pending(self, pending, row):
+        if row is None or not row.previous or row.epoch != pending.epoch:
             return False
         if row.session != self.session.vm.session:
             return False
-        return pull.endpoint_id not in self.owner.owned_by_id
-
-    def _answered(self, reply, pull):
-        row = self.directory.ownership_by_id.get(pull.endpoint_id)
-        endpoint = self.directory.endpoint_by_id.get(pull.endpoint_id)
-        awaited = endpoint is not None and self._is_awaited(pull, row)
-        if not awaited or not reply.granted:
-            self.timers.call_later(RETRY_S, self._request_handover, pull)
+        return pending.endpoint_id not in self.owner.owned_by_id
+
+    def _handle_reply(self, reply, pending):
+        row = self.directory.ownership_by_id.get(pending.endpoint_id)
+        endpoint = self.directory.endpoint_by_id.get(pending.endpoint_id)
+        is_pending = endpoint is not None and self._is_pending(pending, row)
+        if not is_pending or not reply.granted:
+            self.timers.call_later(RETRY_S, self._request_handover, pending)
             return
-        del self.pull_by_id[pull.endpoint_id]
-        self.directory.note_handed(pull.endpoint_id, pull.epoch)
-        self.owner.take_over(endpoint, pull.epoch, reply.running)
-        self.session.report_handover(pull.endpoint_id, pull.epoch)
+        del self.pending_by_id[pending.endpoint_id]
+        self.directory.record_handover(pending.endpoint_id, pending.epoch)
+        self.owner.take_over(endpoint, pending.epoch, reply.running)
+        self.session.report_handover(pending.endpoint_id, pending.epoch)
 
-    def _failed(self, failure, pull):
+    def _handle_failure(self, failure, pending):
         failure.trap(errors.ProblemError)
-        self.timers.call_later(RETRY_S, self._request_handover, pull)
+        self.timers.call_later(RETRY_S, self._request_handover, pending)
--- a/chervilspindle/query/health.py
+++ b/chervilspindle/query/health.py
@@ -18,14 +18,14 @@
 LOGGER = logging.getLogger(__name__)
 
 LOST_AFTER_MS = 3500.0
-SUSPECT_RATIO = 4.0
-SUSPECT_MIN_MS = 60.0
+PROBE_DELAY_RATIO = 4.0
+MIN_PROBE_DELAY_MS = 60.0
 PROBE_BACKOFF = 3.0
-PROBE_MAX_MS = 1000.0
-SUSPECT_PROBE_MS = 500.0
+MAX_PROBE_INTERVAL_MS = 1000.0
+SUSPECT_PROBE_INTERVAL_MS = 500.0
 
 
-class HealthWatch:
+class HealthMonitor:
     """Checks of the endpoints of one owner.
 
     Parameters
@@ -36,29 +36,31 @@
     def __init__(self, owner):
         self.owner = owner
 
-    def get_suspect_ms(self, owned) -> float:
+    def get_probe_delay_ms(self, owned) -> float:
         """Return after how long a request at an endpoint is asked after."""
-        return max(SUSPECT_MIN_MS, SUSPECT_RATIO * owned.limit.service_ms)
+        return max(
+            MIN_PROBE_DELAY_MS, PROBE_DELAY_RATIO * owned.limit.service_ms
+        )
 
     def probe(self, owned, work):
         """Ask on a fresh connection whether a late request is running."""
         work.probing = True
         self.owner.metrics.count_probe()
         deferred = owned.client.probe(work.run_id)
-        deferred.addCallback(self._probed, owned, work)
+        deferred.addCallback(self._handle_probe_result, owned, work)
         deferred.addErrback(_log_failure)
 
-    def _probed(self, state, owned, work):
+    def _handle_probe_result(self, state, owned, work):
         work.probing = False
         now = self.owner.read_clock()
         if work.state != owned_module.RUNNING:
             return
         late = now - work.started_ms
-        work.probe_ms = now + min(PROBE_MAX_MS, PROBE_BACKOFF * late)
-        self._note_probe(owned, state is not None)
+        work.probe_ms = now + min(MAX_PROBE_INTERVAL_MS, PROBE_BACKOFF * late)
+        self._update_suspect(owned, state is not None)
         if state is None:
             # The slot stays taken; the gatherer may try elsewhere.
-            self._answer_lost(owned, work)
+            self._answer_connection_lost(owned, work)
             return
         if state.state == "running":
             return
@@ -73,7 +75,7 @@
             self.owner.answer(
                 owned,
                 work,
-                _read_status(work.job, state.result),
+                _get_result_status(work.job, state.result),
                 True,
                 0,
                 late,
@@ -81,7 +83,7 @@
             )
         work.call.cancel()
 
-    def _answer_lost(self, owned, work):
+    def _answer_connection_lost(self, owned, work):
         kind = errors.ErrorKind.CONNECTION_LOST
         if work.job.key is not None:
             kind = errors.ErrorKind.OUTCOME_UNKNOWN
@@ -89,11 +91,13 @@
             owned, work, kind.value, True, 0, 0.0, messages.EMPTY_VALUE
         )
 
-    def _note_probe(self, owned, answered):
+    def _update_suspect(self, owned, answered):
         if owned.suspect != answered:
             return
         owned.suspect = not answered
-        owned.suspect_probe_ms = self.owner.read_clock() + SUSPECT_PROBE_MS
+        owned.suspect_probe_ms = (
+            self.owner.read_clock() + SUSPECT_PROBE_INTERVAL_MS
+        )
         logs.log_decision(
             "endpoint-suspect",
             endpoint=owned.row.endpoint_id,
@@ -122,27 +126,30 @@
         )
         for work in list(owned.running.values()):
             if work.job.key is None:
-                self._answer_lost(owned, work)
+                self._answer_connection_lost(owned, work)
         self.owner.refuse_queue(owned, errors.ErrorKind.NO_ENDPOINT)
 
     def check_suspect(self, owned, now):
         """Probe a suspect endpoint until it answers again."""
         if not owned.suspect or now < owned.suspect_probe_ms:
             return
-        owned.suspect_probe_ms = now + SUSPECT_PROBE_MS
+        owned.suspect_probe_ms = now + SUSPECT_PROBE_INTERVAL_MS
         self.owner.metrics.count_probe()
         deferred = owned.client.probe("health")
         deferred.addCallback(
-            lambda state: self._note_probe(owned, state is not None)
+            lambda state: self._update_suspect(owned, state is not None)
         )
         deferred.addErrback(_log_failure)
 
-    def check_heard(self, owned, now):
+    def check_announcements(self, owned, now):
         """Report an endpoint as lost that announces itself no more."""
         if self.owner.directory.sole_owner:
             # Each announcement reaches one entry, which here owns all.
             return
-        if owned.reported_lost or now < owned.last_heard_ms + LOST_AFTER_MS:
+        if (
+            owned.reported_lost
+            or now < owned.last_announced_ms + LOST_AFTER_MS
+        ):
             return
         owned.reported_lost = True
         row = owned.row._replace(state="lost", sequence=owned.row.sequence + 1)
@@ -152,7 +159,7 @@
         self.owner.session.report(row)
 
 
-def _read_status(job, result) -> str:
+def _get_result_status(job, result) -> str:
     """Return the status of a result that a probe brought."""
     if result.kind:
         return result.kind
--- a/chervilspindle/query/owned.py
+++ b/chervilspindle/query/owned.py
@@ -7,7 +7,7 @@
 from chervilspindle.wire import messages
 
 MAX_DEADLINE_MS = 30000.0
-FOREIGN_TOLD_MS = 5000.0
+HANDOVER_COUNT_MS = 5000.0
 
 QUEUED = "queued"
 RUNNING = "running"
@@ -75,7 +75,7 @@
     return work.state == QUEUED
 
 
-class Heir(typing.NamedTuple):
+class Successor(typing.NamedTuple):
     """Who is told of requests that end after a handover."""
 
     link: object
@@ -92,30 +92,30 @@
         self.limit = limits.build_limit(row.slots, epoch == 1)
         self.queue = fairness.FairQueue(is_queued)
         self.running = {}
-        self.last_heard_ms = now
+        self.last_announced_ms = now
         # Work of an earlier owner may still run; until the endpoint says
         # how much, all its slots count as taken.
-        self.foreign = 0 if epoch == 1 else row.slots
-        self.foreign_until_ms = 0.0 if epoch == 1 else now + MAX_DEADLINE_MS
-        self.foreign_told_until_ms = 0.0
+        self.inherited_running = 0 if epoch == 1 else row.slots
+        self.inherited_until_ms = 0.0 if epoch == 1 else now + MAX_DEADLINE_MS
+        self.handover_count_until_ms = 0.0
         self.reported_lost = False
         self.released = False
-        self.heir = None
+        self.successor = None
         # An endpoint that answers no probe gets no work until it does.
         self.suspect = False
         self.suspect_probe_ms = 0.0
 
-    def inherit(self, running: int, now: float):
+    def set_inherited(self, running: int, now: float):
         """Count requests that the owner before says it still runs.
 
         What it says goes before reports of the endpoint, which may lag.
         """
-        self.foreign = min(self.row.slots, running)
-        self.foreign_told_until_ms = now + FOREIGN_TOLD_MS
+        self.inherited_running = min(self.row.slots, running)
+        self.handover_count_until_ms = now + HANDOVER_COUNT_MS
         if not running:
-            self.foreign_until_ms = 0.0
+            self.inherited_until_ms = 0.0
 
-    def takes_work(self, now: float) -> bool:
+    def accepts_work(self, now: float) -> bool:
         """Tell whether the endpoint may be sent work at all."""
         if self.suspect or now < self.limit.stalled_until_ms:
             return False
@@ -123,6 +123,10 @@
 
     def count_free_slots(self, now: float) -> int:
         """Return the slots that may be used now."""
-        foreign = self.foreign if now < self.foreign_until_ms else 0
-        allowed = min(limits.get_limit(self.limit), self.row.slots - foreign)
+        inherited_running = (
+            self.inherited_running if now < self.inherited_until_ms else 0
+        )
+        allowed = min(
+            limits.get_limit(self.limit), self.row.slots - inherited_running
+        )
         return allowed - len(self.running)
--- a/chervilspindle/query/owner.py
+++ b/chervilspindle/query/owner.py
@@ -24,8 +24,8 @@
 TICK_S = 0.02
 FULL_PASS_S = 0.1
 MAX_QUEUED = 5000
-CANCEL_GRACE_MS = 250.0
-COMMANDS_REMEMBERED = 10000
+CANCEL_PROBE_DELAY_MS = 250.0
+MAX_RECENT_COMMAND_IDS = 10000
 
 
 class Owner:
@@ -70,11 +70,11 @@
         self.work_by_key = {}
         self.run_numbers = itertools.count()
         self.replies_by_target = {}
-        self.flush_planned = False
-        self.full_pass_ms = -math.inf
-        self.wake_planned = False
-        self.commands_seen = {}
-        self.health = health.HealthWatch(self)
+        self.flush_scheduled = False
+        self.next_full_pass_ms = -math.inf
+        self.tick_scheduled = False
+        self.recent_command_ids = {}
+        self.health = health.HealthMonitor(self)
         self.handover_manager = handover.HandoverManager(
             self, directory, session, call, timers
         )
@@ -95,21 +95,21 @@
             endpoint = self.directory.endpoint_by_id.get(endpoint_id)
             owned = self.owned_by_id.get(endpoint_id)
             if owned and not (
-                endpoint and handover.may_hold(row, own, owned.epoch)
+                endpoint and handover.may_serve(row, own, owned.epoch)
             ):
-                self._give_up(endpoint_id)
+                self._stop_serving(endpoint_id)
                 owned = None
             if owned is None:
-                self._gain(row, endpoint)
+                self._serve_if_allowed(row, endpoint)
             elif owned.row != endpoint:
                 self._update_row(owned, endpoint)
 
     def take_over(self, endpoint, epoch: int, running: int):
         """Serve an endpoint whose owner before said how much runs there."""
-        self._take_up(endpoint, epoch)
+        self._start_serving(endpoint, epoch)
         owned = self.owned_by_id[endpoint.endpoint_id]
         now = self.read_clock()
-        owned.inherit(running, now)
+        owned.set_inherited(running, now)
         self._dispatch(owned, now)
 
     def release_to_successor(self, endpoint_id: str, epoch: int, link) -> int:
@@ -127,17 +127,19 @@
         """
         owned = self.owned_by_id.get(endpoint_id)
         if owned is not None and owned.epoch < epoch:
-            self._give_up(endpoint_id)
+            self._stop_serving(endpoint_id)
         for owned in self._list_closing(endpoint_id):
-            owned.heir = owned_module.Heir(link, epoch)
-        return self._count_left(endpoint_id)
+            owned.successor = owned_module.Successor(link, epoch)
+        return self._count_remaining(endpoint_id)
 
-    def note_slots_left(self, message: messages.SlotsLeft):
+    def handle_slots_left(self, message: messages.SlotsLeft):
         """Take in how much work of the owner before still runs."""
         owned = self.owned_by_id.get(message.endpoint_id)
         if owned is not None and owned.epoch == message.epoch:
             now = self.read_clock()
-            owned.inherit(min(owned.foreign, message.running), now)
+            owned.set_inherited(
+                min(owned.inherited_running, message.running), now
+            )
             self._dispatch(owned, now)
 
     def submit(self, message: messages.SubQuery, target):
@@ -163,7 +165,9 @@
                 part,
                 None,
             )
-            work = owned_module.Work(job, self._build_answer(target), due, now)
+            work = owned_module.Work(
+                job, self._build_reply_callback(target), due, now
+            )
             self._admit(work, now)
 
     def run_command(self, message: messages.RunCommand, answer):
@@ -173,11 +177,11 @@
         since the first copy may run.
         """
         now = self.read_clock()
-        if message.request_id in self.commands_seen:
+        if message.request_id in self.recent_command_ids:
             kind = errors.ErrorKind.OUTCOME_UNKNOWN.value
             answer(messages.CommandReply(kind, True, 0, messages.EMPTY_VALUE))
             return
-        self._remember_command(message.request_id)
+        self._record_command_id(message.request_id)
         part = messages.Part(0, message.endpoint_id, message.epoch, 0, 0)
         job = owned_module.Job(
             message.request_id,
@@ -213,22 +217,24 @@
             if work is not None:
                 self._cancel_work(work, now)
 
-    def note_load(self, load: messages.Load):
+    def handle_load(self, load: messages.Load):
         """Take in what an endpoint said of itself."""
         owned = self.owned_by_id.get(load.endpoint_id)
         if owned is None or load.incarnation < owned.row.incarnation:
             return
         now = self.read_clock()
-        owned.last_heard_ms = now
+        owned.last_announced_ms = now
         owned.reported_lost = False
         if load.state != owned.row.state and load.state == "draining":
             owned.row = owned.row._replace(state="draining")
             self.refuse_queue(owned, errors.ErrorKind.DRAINING)
-        if owned.foreign_told_until_ms <= now < owned.foreign_until_ms:
-            foreign = load.in_use - len(owned.running)
-            owned.foreign = max(0, min(owned.row.slots, foreign))
-            if not owned.foreign:
-                owned.foreign_until_ms = 0.0
+        if owned.handover_count_until_ms <= now < owned.inherited_until_ms:
+            inherited_running = load.in_use - len(owned.running)
+            owned.inherited_running = max(
+                0, min(owned.row.slots, inherited_running)
+            )
+            if not owned.inherited_running:
+                owned.inherited_until_ms = 0.0
             self._dispatch(owned, now)
 
     def tick(self):
@@ -237,20 +243,22 @@
         It runs often while there is work, and rarely otherwise.
         """
         now = self.read_clock()
-        self.wake_planned = False
-        is_full_pass = now >= self.full_pass_ms
+        self.tick_scheduled = False
+        is_full_pass = now >= self.next_full_pass_ms
         if is_full_pass:
-            self.full_pass_ms = now + FULL_PASS_S * 1000.0 - TICK_S * 500.0
+            self.next_full_pass_ms = (
+                now + FULL_PASS_S * 1000.0 - TICK_S * 500.0
+            )
         is_active = bool(self.closing)
         for owned in list(self.owned_by_id.values()):
             if owned.running or owned.queue.size:
                 is_active = True
-                self._expire_queue(owned, now)
+                self._expire_queued(owned, now)
                 self._check_running(owned, now)
                 self.health.check_stalled(owned, now)
                 self._dispatch(owned, now)
             if is_full_pass:
-                self.health.check_heard(owned, now)
+                self.health.check_announcements(owned, now)
                 self.health.check_suspect(owned, now)
                 owned.queue.forget_idle()
         for owned in list(self.closing):
@@ -259,7 +267,7 @@
                 self.closing.remove(owned)
                 owned.client.close()
         if is_active:
-            self._plan_wake()
+            self._schedule_tick()
 
     def count_work(self) -> int:
         """Return how many jobs are queued or running."""
@@ -267,21 +275,21 @@
         running = sum(len(o.running) for o in self.owned_by_id.values())
         return queued + running + sum(len(o.running) for o in self.closing)
 
-    def _plan_wake(self):
-        if not self.wake_planned:
-            self.wake_planned = True
+    def _schedule_tick(self):
+        if not self.tick_scheduled:
+            self.tick_scheduled = True
             self.timers.hurry("owner", TICK_S)
 
-    def _gain(self, row, endpoint):
+    def _serve_if_allowed(self, row, endpoint):
         if row is None or endpoint is None:
             return
         epoch = self.handover_manager.get_serving_epoch(row)
         if epoch:
-            self._take_up(endpoint, epoch)
+            self._start_serving(endpoint, epoch)
         else:
-            self.handover_manager.watch(row)
+            self.handover_manager.schedule_request(row)
 
-    def _take_up(self, endpoint, epoch):
+    def _start_serving(self, endpoint, epoch):
         client = self.build_client(
             endpoint.address, min(endpoint.connections, endpoint.slots + 1)
         )
@@ -293,10 +301,10 @@
             "owner-gained", endpoint=endpoint.endpoint_id, epoch=epoch
         )
 
-    def _give_up(self, endpoint_id):
+    def _stop_serving(self, endpoint_id):
         owned = self.owned_by_id.pop(endpoint_id)
         owned.released = True
-        self._plan_wake()
+        self._schedule_tick()
         self.refuse_queue(owned, errors.ErrorKind.NOT_OWNER)
         self.closing.append(owned)
         logs.log_decision(
@@ -311,7 +319,7 @@
             )
         if endpoint.incarnation != owned.row.incarnation:
             owned.limit = limits.build_limit(endpoint.slots, True)
-            owned.last_heard_ms = self.read_clock()
+            owned.last_announced_ms = self.read_clock()
             for work in owned.running.values():
                 # Whether the old process or the new one has it, only the
                 # endpoint can tell.
@@ -332,10 +340,10 @@
             return
         if part.insist:
             owned.limit = limits.end_pause(owned.limit)
-        if not owned.takes_work(now):
+        if not owned.accepts_work(now):
             self._refuse(work, errors.ErrorKind.NO_ENDPOINT)
             return
-        estimate = self._estimate(owned, work.job)
+        estimate = self._estimate_queue(owned, work.job)
         remaining = work.due_ms - now
         if (
             admission.is_hopeless(estimate, remaining)
@@ -345,13 +353,13 @@
             self._refuse(work, errors.ErrorKind.OVERLOADED, retry_after)
             return
         self.work_by_key[owned_module.build_key(work.job)] = work
-        self._plan_wake()
+        self._schedule_tick()
         owned.queue.push(
             work.job.customer, work.job.weight, work.job.rank, work
         )
         self._dispatch(owned, now)
 
-    def _estimate(self, owned, job):
+    def _estimate_queue(self, owned, job):
         return admission.estimate_queue(
             owned.queue.count_ahead(job.customer, job.rank),
             len(owned.running),
@@ -365,13 +373,13 @@
             if not self.session.is_valid():
                 self.refuse_queue(owned, errors.ErrorKind.NO_LEASE)
                 return
-            if not owned.takes_work(now):
+            if not owned.accepts_work(now):
                 return
             cost = owned.limit.service_ms
             customer, work = owned.queue.pop(cost)
             if work is None:
                 return
-            if work.due_ms - now < self._get_least_ms(owned):
+            if work.due_ms - now < self._get_min_remaining_ms(owned):
                 owned.queue.charge(customer, -cost)
                 self._refuse(work, errors.ErrorKind.DEADLINE)
                 continue
@@ -381,7 +389,7 @@
         job = work.job
         work.state = owned_module.RUNNING
         work.started_ms = now
-        work.probe_ms = now + self.health.get_suspect_ms(owned)
+        work.probe_ms = now + self.health.get_probe_delay_ms(owned)
         work.run_id = (
             f"{job.request_id}.{job.attempt}.{next(self.run_numbers)}"
         )
@@ -410,10 +418,10 @@
         now = self.read_clock()
         if owned.running.pop(work.run_id, None) is None:
             return
-        self._forget(work)
+        self._remove_work(work)
         work.state = owned_module.ENDED
         service_ms = now - work.started_ms
-        self._learn(owned, work, result, service_ms, now)
+        self._record_result(owned, work, result, service_ms, now)
         status = result.status
         if status == "ok" and work.job.key is None:
             if result.snapshot != work.job.snapshot:
@@ -432,27 +440,27 @@
         if work.answered and work.cancelled_ms and result.dispatched:
             self.metrics.count_wasted()
         if owned.released:
-            self._tell_heir(owned)
+            self._notify_successor(owned)
         else:
             self._dispatch(owned, now)
 
-    def _tell_heir(self, owned):
-        if owned.heir is None:
+    def _notify_successor(self, owned):
+        if owned.successor is None:
             return
         endpoint_id = owned.row.endpoint_id
-        left = self._count_left(endpoint_id)
-        owned.heir.link.send(
-            messages.SlotsLeft(endpoint_id, owned.heir.epoch, left)
+        left = self._count_remaining(endpoint_id)
+        owned.successor.link.send(
+            messages.SlotsLeft(endpoint_id, owned.successor.epoch, left)
         )
 
     def _list_closing(self, endpoint_id):
         return [o for o in self.closing if o.row.endpoint_id == endpoint_id]
 
-    def _count_left(self, endpoint_id):
+    def _count_remaining(self, endpoint_id):
         """Count the requests that still run at a former endpoint."""
         return sum(len(o.running) for o in self._list_closing(endpoint_id))
 
-    def _learn(self, owned, work, result, service_ms, now):
+    def _record_result(self, owned, work, result, service_ms, now):
         owned.queue.charge(
             work.job.customer, service_ms - owned.limit.service_ms
         )
@@ -495,7 +503,7 @@
     def _refuse(self, work, kind, retry_after=0):
         """Answer work that was never dispatched."""
         owned = self.owned_by_id.get(work.job.part.endpoint_id)
-        self._forget(work)
+        self._remove_work(work)
         work.state = owned_module.ENDED
         self.answer(
             owned,
@@ -513,16 +521,16 @@
             owned.queue.drop(customer)
             self._refuse(work, kind)
 
-    def _expire_queue(self, owned, now):
+    def _expire_queued(self, owned, now):
         if not owned.queue.size:
             return
-        needed = self._get_least_ms(owned)
+        needed = self._get_min_remaining_ms(owned)
         for customer, work in owned.queue.list_lowest():
             if work.due_ms - now < needed:
                 owned.queue.drop(customer)
                 self._refuse(work, errors.ErrorKind.DEADLINE)
 
-    def _get_least_ms(self, owned):
+    def _get_min_remaining_ms(self, owned):
         """Return the time left below which work is not started.
 
         An idle endpoint tries any work, so that a bad estimate recovers.
@@ -534,13 +542,13 @@
     def _check_running(self, owned, now):
         for work in list(owned.running.values()):
             if now > work.due_ms and not work.cancelled_ms:
-                self._give_up_running(owned, work, now)
+                self._expire_running(owned, work, now)
             if now > work.probe_ms and not work.probing:
                 # The slot of a cancelled request stays taken until the
                 # endpoint says that it is free: one that hangs gets no more.
                 self.health.probe(owned, work)
 
-    def _give_up_running(self, owned, work, now):
+    def _expire_running(self, owned, work, now):
         kind = errors.ErrorKind.DEADLINE
         if work.job.key is not None:
             kind = errors.ErrorKind.OUTCOME_UNKNOWN
@@ -551,14 +559,14 @@
             self._cancel_running(owned, work, now)
         else:
             work.cancelled_ms = now
-            work.probe_ms = now + CANCEL_GRACE_MS
+            work.probe_ms = now + CANCEL_PROBE_DELAY_MS
 
     def _cancel_work(self, work, now):
         owned = self.owned_by_id.get(work.job.part.endpoint_id)
         work.answered = True
         if work.state == owned_module.QUEUED and owned is not None:
             owned.queue.drop(work.job.customer)
-            self._forget(work)
+            self._remove_work(work)
             work.state = owned_module.ENDED
         elif work.state == owned_module.RUNNING:
             for candidate in (owned, *self.closing):
@@ -567,39 +575,39 @@
 
     def _cancel_running(self, owned, work, now):
         work.cancelled_ms = now
-        work.probe_ms = now + CANCEL_GRACE_MS
+        work.probe_ms = now + CANCEL_PROBE_DELAY_MS
         owned.client.cancel(work.run_id)
 
-    def _build_answer(self, target):
+    def _build_reply_callback(self, target):
         def answer(job, reply):
             key = (id(target), job.request_id, job.attempt)
             entry = self.replies_by_target.get(key)
             if entry is None:
                 entry = self.replies_by_target[key] = (target, job, [])
             entry[2].append(reply)
-            if not self.flush_planned:
-                self.flush_planned = True
+            if not self.flush_scheduled:
+                self.flush_scheduled = True
                 self.timers.call_later(0, self._flush_replies)
 
         return answer
 
     def _flush_replies(self):
-        self.flush_planned = False
+        self.flush_scheduled = False
         batches, self.replies_by_target = self.replies_by_target, {}
         for target, job, replies in batches.values():
             target.send(
                 messages.SubReply(job.request_id, job.attempt, tuple(replies))
             )
 
-    def _forget(self, work):
+    def _remove_work(self, work):
         key = owned_module.build_key(work.job)
         if self.work_by_key.get(key) is work:
             del self.work_by_key[key]
 
-    def _remember_command(self, request_id):
-        self.commands_seen[request_id] = True
-        if len(self.commands_seen) > COMMANDS_REMEMBERED:
-            del self.commands_seen[next(iter(self.commands_seen))]
+    def _record_command_id(self, request_id):
+        self.recent_command_ids[request_id] = True
+        if len(self.recent_command_ids) > MAX_RECENT_COMMAND_IDS:
+            del self.recent_command_ids[next(iter(self.recent_command_ids))]
 
 
 def _log_failure(failure):
--- a/chervilspindle/query/query_state.py
+++ b/chervilspindle/query/query_state.py
@@ -27,7 +27,7 @@
     request_id: str
     snapshot: int
     results: tuple[tuple[str, str, bytes], ...]
-    missing: tuple[coverage.Missing, ...]
+    missing: tuple[coverage.MissingRange, ...]
 
 
 class Send(typing.NamedTuple):
@@ -81,8 +81,8 @@
         "plan",
         "shards",
         "shard_by_send",
-        "open_count",
-        "ran_before",
+        "unsettled_count",
+        "earlier_attempt_ran",
         "hedges",
         "retries",
     )
@@ -97,7 +97,7 @@
         self.plan = None
         self.shards = ()
         self.shard_by_send = {}
-        self.open_count = 0
-        self.ran_before = False
+        self.unsettled_count = 0
+        self.earlier_attempt_ran = False
         self.hedges = 0
         self.retries = 0
--- a/chervilspindle/query/session.py
+++ b/chervilspindle/query/session.py
@@ -18,7 +18,7 @@
 LOGGER = logging.getLogger(__name__)
 
 HEARTBEAT_MS = 1000.0
-EAGER_MS = 50.0
+EAGER_HEARTBEAT_MS = 50.0
 CALL_TIMEOUT_S = 0.8
 RETRY_PAUSE_S = 0.1
 TICK_S = 0.5
@@ -72,14 +72,14 @@
                 if not _is_retryable(error.problem):
                     raise
                 may_have_run = may_have_run or not error.problem.not_run
-                self._try_next("")
+                self._select_next_leader("")
             else:
                 if not isinstance(reply, messages.NotLeader):
                     return reply
-                self._try_next(reply.leader_vm)
+                self._select_next_leader(reply.leader_vm)
             yield self._pause(RETRY_PAUSE_S)
 
-    def _try_next(self, hint: str):
+    def _select_next_leader(self, hint: str):
         if hint in self.address_by_vm and hint != self.leader_vm:
             self.leader_vm = hint
             return
@@ -113,16 +113,16 @@
         self.read_clock = read_clock
         self.lease_until_ms = 0.0
         self.reports_by_id = {}
-        self.taken_epoch_by_id = {}
+        self.handover_epoch_by_id = {}
         self.due_ms = 0.0
         self.last_sent_ms = 0.0
-        self.busy = False
+        self.heartbeat_in_flight = False
         self.stopped = False
 
     def start(self):
         """Start sending heartbeats."""
         self.timers.subscribe("session", TICK_S, self._tick)
-        self._wake()
+        self._schedule_tick()
 
     def is_valid(self) -> bool:
         """Tell whether the lease holds now."""
@@ -134,27 +134,27 @@
 
     def report(self, endpoint: rows.Endpoint):
         """Report a changed endpoint with the next heartbeat, which is soon."""
-        known = self.reports_by_id.get(endpoint.endpoint_id)
-        if known is not None and not rows.is_newer(endpoint, known):
+        pending = self.reports_by_id.get(endpoint.endpoint_id)
+        if pending is not None and not rows.is_newer(endpoint, pending):
             return
         if len(self.reports_by_id) < MAX_REPORTS:
             self.reports_by_id[endpoint.endpoint_id] = endpoint
-            self.hurry()
+            self.expedite_heartbeat()
 
     def report_handover(self, endpoint_id: str, epoch: int):
         """Report that an endpoint was taken over from its owner before."""
-        self.taken_epoch_by_id[endpoint_id] = epoch
-        self.hurry()
+        self.handover_epoch_by_id[endpoint_id] = epoch
+        self.expedite_heartbeat()
 
-    def hurry(self):
+    def expedite_heartbeat(self):
         """Send the next heartbeat soon."""
-        self.due_ms = min(self.due_ms, self.last_sent_ms + EAGER_MS)
-        self._wake()
+        self.due_ms = min(self.due_ms, self.last_sent_ms + EAGER_HEARTBEAT_MS)
+        self._schedule_tick()
 
     def set_state(self, state: str):
         """Announce a new state of this VM."""
         self.vm = self.vm._replace(state=state)
-        self.hurry()
+        self.expedite_heartbeat()
 
     @defer.inlineCallbacks
     def leave(self):
@@ -166,15 +166,15 @@
         except errors.ProblemError:
             LOGGER.warning("left without telling control")
 
-    def _wake(self):
+    def _schedule_tick(self):
         delay_ms = max(0.0, self.due_ms - self.read_clock())
         self.timers.hurry("session", delay_ms / 1000.0)
 
     def _tick(self):
         now = self.read_clock()
-        if self.busy or self.stopped or now < self.due_ms:
+        if self.heartbeat_in_flight or self.stopped or now < self.due_ms:
             return
-        self.busy = True
+        self.heartbeat_in_flight = True
         self.last_sent_ms = now
         self.due_ms = now + HEARTBEAT_MS
         reports, self.reports_by_id = self.reports_by_id, {}
@@ -186,20 +186,24 @@
             self._list_handovers(),
         )
         deferred = self.control.call(heartbeat, CALL_TIMEOUT_S * 1.5)
-        deferred.addCallbacks(self._renewed, self._failed, (now,))
+        deferred.addCallbacks(
+            self._handle_heartbeat_reply,
+            self._handle_heartbeat_failure,
+            (now,),
+        )
         deferred.addErrback(_log_failure)
-        deferred.addBoth(self._finished, reports)
+        deferred.addBoth(self._end_heartbeat, reports)
 
     def _list_handovers(self):
         """Return the handovers that control has not recorded yet."""
-        for endpoint_id, epoch in list(self.taken_epoch_by_id.items()):
+        for endpoint_id, epoch in list(self.handover_epoch_by_id.items()):
             row = self.directory.ownership_by_id.get(endpoint_id)
             if row is None or row.epoch != epoch or not row.previous:
-                del self.taken_epoch_by_id[endpoint_id]
-        return tuple(self.taken_epoch_by_id.items())
+                del self.handover_epoch_by_id[endpoint_id]
+        return tuple(self.handover_epoch_by_id.items())
 
-    def _renewed(self, reply, sent_ms):
-        before = self.directory.lists.revision
+    def _handle_heartbeat_reply(self, reply, sent_ms):
+        previous_revision = self.directory.lists.revision
         delta = messages.decode_delta(reply.delta)
         if not self.directory.apply_delta(delta):
             # Control that knows less than it said before has lost accepted
@@ -212,20 +216,20 @@
             until = sent_ms + reply.lease_ms
             self.lease_until_ms = max(self.lease_until_ms, until)
         elif not self.stopped:
-            self.hurry()
-        if self.directory.lists.revision != before:
+            self.expedite_heartbeat()
+        if self.directory.lists.revision != previous_revision:
             # Operators see soon that the lists are in force here.
-            self.hurry()
+            self.expedite_heartbeat()
         return True
 
-    def _failed(self, failure):
+    def _handle_heartbeat_failure(self, failure):
         failure.trap(errors.ProblemError)
-        self.hurry()
+        self.expedite_heartbeat()
         return False
 
-    def _finished(self, succeeded, reports):
-        self.busy = False
-        self._wake()
+    def _end_heartbeat(self, succeeded, reports):
+        self.heartbeat_in_flight = False
+        self._schedule_tick()
         if not succeeded:
             for endpoint in reports.values():
                 self.report(endpoint)
