--- a/features/sabotage_test.py
+++ b/features/sabotage_test.py
@@ -65,8 +65,8 @@
     """Say of every part that it was never dispatched."""
     original = owner.Owner.answer
 
-    def answer(self, owned, work, status, dispatched, *rest):
-        original(self, owned, work, status, status == "ok", *rest)
+    def answer(self, endpoint, work, status, dispatched, *rest):
+        original(self, endpoint, work, status, status == "ok", *rest)
 
     monkeypatch.setattr(owner.Owner, "answer", answer)
 
