--- a/chervilspindle/query/health.py
+++ b/chervilspindle/query/health.py
@@ -12,7 +12,7 @@
 from chervilspindle.core import errors
 from chervilspindle.core import logs
 from chervilspindle.policy import limits
-from chervilspindle.query import owned as owned_module
+from chervilspindle.query import endpoint_state as owned_module
 from chervilspindle.wire import messages
 
 LOGGER = logging.getLogger(__name__)
--- a/chervilspindle/query/owner.py
+++ b/chervilspindle/query/owner.py
@@ -14,9 +14,9 @@
 from chervilspindle.core import logs
 from chervilspindle.policy import admission
 from chervilspindle.policy import limits
+from chervilspindle.query import endpoint_state as owned_module
 from chervilspindle.query import handover
 from chervilspindle.query import health
-from chervilspindle.query import owned as owned_module
 from chervilspindle.wire import messages
 
 LOGGER = logging.getLogger(__name__)
--- a/features/sabotage_test.py
+++ b/features/sabotage_test.py
@@ -12,9 +12,9 @@
 from chervilspindle.control import storage
 from chervilspindle.query import commands
 from chervilspindle.query import directory
+from chervilspindle.query import endpoint_state
 from chervilspindle.query import entry
 from chervilspindle.query import gather
-from chervilspindle.query import owned
 from chervilspindle.query import owner
 from chervilspindle.query import query_state
 from chervilspindle.query import session
@@ -120,7 +120,7 @@
         return self.row.slots - len(self.running)
 
     monkeypatch.setattr(
-        owned.OwnedEndpoint, "count_free_slots", count_free_slots
+        endpoint_state.OwnedEndpoint, "count_free_slots", count_free_slots
     )
     monkeypatch.setattr(fakes, "SERVICE_S", 4.0)
 
