--- a/chervilspindle/query/health.py
+++ b/chervilspindle/query/health.py
@@ -12,7 +12,7 @@
 from chervilspindle.core import errors
 from chervilspindle.core import logs
 from chervilspindle.policy import limits
-from chervilspindle.query import endpoint_state as owned_module
+from chervilspindle.query import endpoint_state
 from chervilspindle.wire import messages
 
 LOGGER = logging.getLogger(__name__)
@@ -53,7 +53,7 @@
     def _handle_probe_result(self, state, owned, work):
         work.probing = False
         now = self.owner.read_clock()
-        if work.state != owned_module.RUNNING:
+        if work.state != endpoint_state.RUNNING:
             return
         late = now - work.started_ms
         work.probe_ms = now + min(MAX_PROBE_INTERVAL_MS, PROBE_BACKOFF * late)
--- a/chervilspindle/query/owner.py
+++ b/chervilspindle/query/owner.py
@@ -14,7 +14,7 @@
 from chervilspindle.core import logs
 from chervilspindle.policy import admission
 from chervilspindle.policy import limits
-from chervilspindle.query import endpoint_state as owned_module
+from chervilspindle.query import endpoint_state
 from chervilspindle.query import handover
 from chervilspindle.query import health
 from chervilspindle.wire import messages
@@ -129,7 +129,7 @@
         if owned is not None and owned.epoch < epoch:
             self._stop_serving(endpoint_id)
         for owned in self._list_closing(endpoint_id):
-            owned.successor = owned_module.Successor(link, epoch)
+            owned.successor = endpoint_state.Successor(link, epoch)
         return self._count_remaining(endpoint_id)
 
     def handle_slots_left(self, message: messages.SlotsLeft):
@@ -152,9 +152,9 @@
             Its ``send(message)`` takes the replies.
         """
         now = self.read_clock()
-        due = now + min(message.deadline_ms, owned_module.MAX_DEADLINE_MS)
+        due = now + min(message.deadline_ms, endpoint_state.MAX_DEADLINE_MS)
         for part in message.parts:
-            job = owned_module.Job(
+            job = endpoint_state.Job(
                 message.request_id,
                 message.attempt,
                 message.customer,
@@ -165,7 +165,7 @@
                 part,
                 None,
             )
-            work = owned_module.Work(
+            work = endpoint_state.Work(
                 job, self._build_reply_callback(target), due, now
             )
             self._admit(work, now)
@@ -183,7 +183,7 @@
             return
         self._record_command_id(message.request_id)
         part = messages.Part(0, message.endpoint_id, message.epoch, 0, 0)
-        job = owned_module.Job(
+        job = endpoint_state.Job(
             message.request_id,
             0,
             message.customer,
@@ -194,7 +194,7 @@
             part,
             message.key,
         )
-        due = now + min(message.deadline_ms, owned_module.MAX_DEADLINE_MS)
+        due = now + min(message.deadline_ms, endpoint_state.MAX_DEADLINE_MS)
 
         def convert(job_, reply):
             answer(
@@ -206,7 +206,7 @@
                 )
             )
 
-        self._admit(owned_module.Work(job, convert, due, now), now)
+        self._admit(endpoint_state.Work(job, convert, due, now), now)
 
     def cancel(self, message: messages.CancelParts):
         """End parts whose answer is no longer wanted."""
@@ -294,7 +294,7 @@
             endpoint.address, min(endpoint.connections, endpoint.slots + 1)
         )
         now = self.read_clock()
-        self.owned_by_id[endpoint.endpoint_id] = owned_module.OwnedEndpoint(
+        self.owned_by_id[endpoint.endpoint_id] = endpoint_state.OwnedEndpoint(
             endpoint, epoch, client, now
         )
         logs.log_decision(
@@ -330,7 +330,7 @@
         if endpoint.state == "draining":
             self.refuse_queue(owned, errors.ErrorKind.DRAINING)
 
-    def _admit(self, work: owned_module.Work, now: float):
+    def _admit(self, work: endpoint_state.Work, now: float):
         if not self.is_fair:
             work.job = work.job._replace(customer="", weight=1.0, rank=0)
         part = work.job.part
@@ -352,7 +352,7 @@
             retry_after = admission.compute_retry_after_ms(estimate, remaining)
             self._refuse(work, errors.ErrorKind.OVERLOADED, retry_after)
             return
-        self.work_by_key[owned_module.build_key(work.job)] = work
+        self.work_by_key[endpoint_state.build_key(work.job)] = work
         self._schedule_tick()
         owned.queue.push(
             work.job.customer, work.job.weight, work.job.rank, work
@@ -368,7 +368,7 @@
             owned.queue.get_share(job.customer, job.weight),
         )
 
-    def _dispatch(self, owned: owned_module.OwnedEndpoint, now: float):
+    def _dispatch(self, owned: endpoint_state.OwnedEndpoint, now: float):
         while owned.queue.size and owned.count_free_slots(now) > 0:
             if not self.session.is_valid():
                 self.refuse_queue(owned, errors.ErrorKind.NO_LEASE)
@@ -387,7 +387,7 @@
 
     def _start(self, owned, work, now):
         job = work.job
-        work.state = owned_module.RUNNING
+        work.state = endpoint_state.RUNNING
         work.started_ms = now
         work.probe_ms = now + self.health.get_probe_delay_ms(owned)
         work.run_id = (
@@ -419,7 +419,7 @@
         if owned.running.pop(work.run_id, None) is None:
             return
         self._remove_work(work)
-        work.state = owned_module.ENDED
+        work.state = endpoint_state.ENDED
         service_ms = now - work.started_ms
         self._record_result(owned, work, result, service_ms, now)
         status = result.status
@@ -504,7 +504,7 @@
         """Answer work that was never dispatched."""
         owned = self.owned_by_id.get(work.job.part.endpoint_id)
         self._remove_work(work)
-        work.state = owned_module.ENDED
+        work.state = endpoint_state.ENDED
         self.answer(
             owned,
             work,
@@ -564,11 +564,11 @@
     def _cancel_work(self, work, now):
         owned = self.owned_by_id.get(work.job.part.endpoint_id)
         work.answered = True
-        if work.state == owned_module.QUEUED and owned is not None:
+        if work.state == endpoint_state.QUEUED and owned is not None:
             owned.queue.drop(work.job.customer)
             self._remove_work(work)
-            work.state = owned_module.ENDED
-        elif work.state == owned_module.RUNNING:
+            work.state = endpoint_state.ENDED
+        elif work.state == endpoint_state.RUNNING:
             for candidate in (owned, *self.closing):
                 if candidate and work.run_id in candidate.running:
                     self._cancel_running(candidate, work, now)
@@ -600,7 +600,7 @@
             )
 
     def _remove_work(self, work):
-        key = owned_module.build_key(work.job)
+        key = endpoint_state.build_key(work.job)
         if self.work_by_key.get(key) is work:
             del self.work_by_key[key]
 
