--- a/chervilspindle/query/__init__.py
+++ b/chervilspindle/query/__init__.py
@@ -1,1 +1,1 @@
-"""The request path of an entry VM: gather, own endpoints, run commands."""
+"""Queries and commands of an entry VM, and dispatch to owned endpoints."""
--- a/chervilspindle/query/answers.py
+++ b/chervilspindle/query/answers.py
@@ -1,11 +1,11 @@
-"""What a query's answer holds, and what it says if it holds nothing."""
+"""Contents of the answer to a query, and the error if there is none."""
 
 from chervilspindle.core import errors
 from chervilspindle.query import coverage
 
 
 def list_missing(query) -> tuple[coverage.MissingRange, ...]:
-    """Return the ranges that an answer does not cover, with reasons."""
+    """Return the key ranges without a result, with reasons."""
     return query.plan.missing + tuple(
         coverage.MissingRange(
             s.plan.service, s.plan.low, s.plan.high, s.reason
@@ -16,7 +16,7 @@
 
 
 def list_results(query) -> tuple[tuple[str, str, bytes], ...]:
-    """Return service, name of the shard and value of each answered shard."""
+    """Return service, shard name and value of each answered shard."""
     return tuple(
         (
             s.plan.service,
@@ -29,9 +29,9 @@
 
 
 def build_failure(query, missing) -> errors.ProblemError:
-    """Build the error of a query without a usable answer.
+    """Build the error for a query that can't be answered.
 
-    It is marked as not run only if no part of it can have run.
+    It is marked as not run only if no part can have run.
     """
     ran = query.earlier_attempt_ran or any(
         s.may_have_run or s.value is not None for s in query.shards
--- a/chervilspindle/query/commands.py
+++ b/chervilspindle/query/commands.py
@@ -1,9 +1,10 @@
-"""Runs non-idempotent requests at most once.
+"""Runs non-idempotent commands at most once.
 
-The claim of (customer, idempotency key) is committed in control before the
-first dispatch, bound to a digest of the request and to one attempt. Only the
-owner's word that it never dispatched frees a claim. Without a known outcome
-the caller is told so, and no entry runs the request again.
+A claim on (customer, idempotency key) is committed in control before the
+first dispatch, together with a digest of the request and the id of the
+attempt. A claim is freed only if it is certain that the command was not
+dispatched. If the outcome is unknown, the caller gets an error that says so,
+and no entry runs the command again.
 """
 
 import hashlib
@@ -26,7 +27,7 @@
 
 
 class CommandRequest(typing.NamedTuple):
-    """An admitted caller's command."""
+    """A command that was admitted."""
 
     request_id: str
     customer: str
@@ -40,13 +41,13 @@
 
 
 class CommandRunner:
-    """All commands that this entry handles.
+    """Runs the commands that this entry has admitted.
 
     Parameters
     ----------
     directory : Directory
     choose_endpoint : callable
-        Returns one usable endpoint of several, or None.
+        Returns one usable endpoint of those given, or None.
     control : ControlClient
     call_owner : callable
         ``call_owner(vm, message, timeout_s)`` returns a Deferred.
@@ -73,7 +74,7 @@
 
     @defer.inlineCallbacks
     def run(self, request: CommandRequest):
-        """Run a command, or give the recorded outcome of an earlier run.
+        """Run a command, or return the recorded outcome of an earlier attempt.
 
         Returns
         -------
@@ -83,20 +84,20 @@
         due = self.timers.clock.seconds() + request.deadline_ms / 1000.0
         endpoint_id = self._choose_endpoint(request)
         claim = build_claim(request)
-        granted = yield self._claim(request, claim)
-        if not granted.granted and granted.claim.attempt != claim.attempt:
-            return self._replay_outcome(request, claim, granted.claim)
-        if granted.claim.outcome != "claimed":
-            return self._replay_outcome(request, claim, granted.claim)
+        claimed = yield self._claim(request, claim)
+        if not claimed.granted and claimed.claim.attempt != claim.attempt:
+            return self._replay_outcome(request, claim, claimed.claim)
+        if claimed.claim.outcome != "claimed":
+            return self._replay_outcome(request, claim, claimed.claim)
         reply = yield self._send(request, endpoint_id, due)
         return (yield self._return_outcome(request, reply))
 
     @defer.inlineCallbacks
     def _send(self, request, endpoint_id, due):
-        """Send a claimed command to an owner, or to another one after it.
+        """Send a claimed command to an owner, with retries at other owners.
 
-        It is sent on only if the owner says that it never dispatched it, or
-        if nothing was sent since the owner can't be reached.
+        It is retried only if the owner replies that it did not dispatch it,
+        or if it was not sent because the owner can't be reached.
         """
         tried = []
         while True:
@@ -142,7 +143,8 @@
                 messages.ClaimCall(claim), CLAIM_TIMEOUT_S
             )
         except errors.ProblemError as error:
-            # Nothing was dispatched; a claim that may stand is freed.
+            # Nothing was dispatched. Control may have committed the claim
+            # all the same, so free it.
             self._resolve(request, "free", b"")
             raise self._build_not_run(
                 request, errors.ErrorKind.NO_LEADER
@@ -150,7 +152,7 @@
         return reply
 
     def _replay_outcome(self, request, claim, earlier: rows.Claim):
-        """Answer a resend from what the first attempt left."""
+        """Answer a repeated request with the outcome of the first attempt."""
         self.explainer.record(
             request.request_id,
             "claim-refused",
@@ -162,7 +164,7 @@
         if earlier.digest != claim.digest:
             raise errors.build_error(
                 errors.ErrorKind.KEY_REUSED,
-                "the idempotency key belongs to another request",
+                "the idempotency key was already used for a different request",
                 request_id=request.request_id,
                 source="header Idempotency-Key",
             )
@@ -176,7 +178,7 @@
             kind = errors.ErrorKind.IN_PROGRESS
         raise errors.build_error(
             kind,
-            "an earlier attempt has no recorded outcome",
+            "the outcome of an earlier attempt with this key is not recorded",
             not_run=False,
             request_id=request.request_id,
         )
@@ -203,7 +205,8 @@
             msgspec.json.encode(request.command),
         )
         caller_reply = defer.Deferred()
-        # The reply is awaited longer than the caller is, to be recorded.
+        # Wait for the reply past the deadline of the caller, to record the
+        # outcome for repeated requests.
         owner_reply = self.call_owner(
             vm, message, remaining_s + LATE_REPLY_GRACE_S
         )
@@ -264,13 +267,13 @@
             raise self._build_failed(request, reply.value.decode())
         raise errors.build_error(
             errors.ErrorKind.OUTCOME_UNKNOWN,
-            "the request was sent and its outcome is not known",
+            "the request was sent, but its outcome is unknown",
             not_run=False,
             request_id=request.request_id,
         )
 
     def _record(self, request, reply):
-        """Record what is known of an attempt; unknown stays claimed."""
+        """Record the outcome of an attempt; if unknown, leave it claimed."""
         if reply.status == "ok":
             return self._resolve(request, "done", reply.value)
         if not reply.dispatched:
@@ -280,13 +283,14 @@
         return defer.succeed(None)
 
     def _resolve(self, request, outcome, value):
-        """Record an outcome; goes on in the background if control is away.
+        """Record an outcome; retries go on if control can't be reached.
 
         Returns
         -------
         Deferred
-            Fires after the record is committed, or after the claim's usual
-            time; it never fails.
+            Fires once the record is committed, at the latest after
+            `CLAIM_TIMEOUT_S`; it never fails. Calls to control continue in
+            the background for up to `RESOLVE_TIMEOUT_S`.
         """
         message = messages.ResolveCall(
             build_claim_id(request), request.request_id, outcome, value
@@ -316,7 +320,7 @@
     def _build_failed(self, request, detail):
         return errors.build_error(
             errors.ErrorKind.ENDPOINT_FAILED,
-            f"the endpoint ran the request and failed: {detail}",
+            f"the endpoint ran the request, which failed: {detail}",
             not_run=False,
             request_id=request.request_id,
         )
@@ -331,12 +335,12 @@
 
 
 def build_claim_id(request: CommandRequest) -> str:
-    """Return the key under which a request is claimed."""
+    """Return the id of the claim of a request."""
     return f"{request.customer}/{request.idempotency_key}"
 
 
 def build_claim(request: CommandRequest) -> rows.Claim:
-    """Build the claim of a request."""
+    """Build the claim of a request, with a digest of its content."""
     content = msgspec.json.encode(
         (request.service, request.key, request.command), order="sorted"
     )
--- a/chervilspindle/query/coverage.py
+++ b/chervilspindle/query/coverage.py
@@ -1,8 +1,9 @@
-"""Which snapshot a query reads, which shards it has, and what is missing.
+"""Choice of the snapshot of a query, of its shards and missing key ranges.
 
-The ranges that endpoints announce for one snapshot tile the key space of a
-service exactly; a repartition comes with a new snapshot. Only one snapshot
-is chosen for a whole query, so an answer never mixes partitions.
+The ranges that endpoints announce for one snapshot partition the key space
+of a service exactly; a new partitioning comes with a new snapshot. A query
+reads the same snapshot of all services, so an answer never mixes
+partitionings.
 """
 
 import typing
@@ -12,7 +13,7 @@
 
 
 class Shard(typing.NamedTuple):
-    """One shard of a plan; `endpoint_ids` are replicas that can serve it."""
+    """One shard of a plan; `endpoint_ids` lists its usable replicas."""
 
     service: str
     low: int
@@ -21,7 +22,7 @@
 
 
 class MissingRange(typing.NamedTuple):
-    """A key range of a service that an answer lacks, and why."""
+    """A key range of a service without a result, and the reason."""
 
     service: str
     low: int
@@ -30,7 +31,7 @@
 
 
 class SnapshotPlan(typing.NamedTuple):
-    """The shards of one snapshot that a query asks, and those it can't."""
+    """The shards of one snapshot that a query reads, and those it can't."""
 
     snapshot: int
     shards: tuple[Shard, ...]
@@ -38,7 +39,7 @@
 
 
 def name_shard(low: int, high: int) -> str:
-    """Return the name of a shard in answers."""
+    """Return the name that answers use for a shard."""
     return f"{low}-{high}"
 
 
@@ -53,20 +54,20 @@
     Parameters
     ----------
     endpoints_by_service : dict of str to sequence of Endpoint
-        All known endpoints of each service that the query asks, also those
-        that are lost, so that their shards are missed.
+        All known endpoints of each service of the query. Lost endpoints
+        are included, so that their shards are listed as missing.
     is_usable : callable
-        Tells whether an endpoint can be sent work now.
+        Tells whether work can be sent to an endpoint now.
     key_slot : int, optional
-        Restricts the query to the shards that hold this slot.
+        Restricts the query to the shards that contain this slot.
     excluded : frozenset of int
-        Snapshots that were found gone.
+        Snapshots that endpoints no longer have.
 
     Returns
     -------
     SnapshotPlan
-        The newest snapshot that covers everything; else the one that
-        covers most, the newest of equals.
+        Of the newest snapshot that covers everything; if there is none,
+        of the one that covers most, preferring newer ones.
     """
     snapshots = {
         holding.snapshot
@@ -89,12 +90,14 @@
 
 
 def tile_ranges(ranges):
-    """Order ranges into a tiling of the key space.
+    """Split the key space into the given ranges and the gaps between them.
+
+    Ranges that are empty or overlap an earlier one are ignored.
 
     Returns
     -------
     list of tuple of (int, int, bool)
-        Low, high, and whether the range is held; gaps are not held.
+        Low, high, and True for a given range, False for a gap.
     """
     tiles = []
     cursor = 0
@@ -126,10 +129,12 @@
         holders_by_range = _list_holders(
             snapshot, endpoints_by_service[service], is_usable
         )
-        for low, high, held in tile_ranges(holders_by_range):
+        for low, high, is_announced in tile_ranges(holders_by_range):
             if key_slot is not None and not low <= key_slot < high:
                 continue
-            holders = holders_by_range.get((low, high), ()) if held else ()
+            holders = (
+                holders_by_range.get((low, high), ()) if is_announced else ()
+            )
             if holders:
                 shards.append(Shard(service, low, high, tuple(holders)))
             else:
@@ -139,7 +144,7 @@
 
 
 def _list_holders(snapshot, endpoints, is_usable):
-    """Map each range of a snapshot to the usable endpoints that hold it."""
+    """Map each range of a snapshot to the usable endpoints that serve it."""
     holders_by_range = {}
     for endpoint in endpoints:
         for holding in endpoint.holdings:
--- a/chervilspindle/query/coverage_test.py
+++ b/chervilspindle/query/coverage_test.py
@@ -1,4 +1,4 @@
-"""Tests of snapshot pinning and coverage."""
+"""Tests of the choice of snapshot and of coverage."""
 
 import hypothesis
 from hypothesis import strategies
@@ -32,7 +32,7 @@
     return coverage.plan_query({"s": endpoints}, is_ready, **fields)
 
 
-def test_newest_snapshot_that_covers_all_is_pinned():
+def test_newest_snapshot_that_covers_all_is_chosen():
     whole = (1, 0, rows.KEY_SPACE)
     part = (2, 0, HALF)
     result = plan([build_endpoint("a", [whole, part])])
@@ -40,7 +40,7 @@
     assert not result.missing
 
 
-def test_repartitioned_snapshot_is_taken_once_it_is_whole():
+def test_repartitioned_snapshot_is_chosen_once_complete():
     whole = (1, 0, rows.KEY_SPACE)
     left, right = (2, 0, HALF), (2, HALF, rows.KEY_SPACE)
     result = plan(
@@ -53,7 +53,7 @@
     ]
 
 
-def test_lost_shard_is_missed():
+def test_shard_of_a_lost_endpoint_is_missing():
     result = plan(
         [
             build_endpoint("a", [(1, 0, HALF)]),
@@ -65,7 +65,7 @@
     ]
 
 
-def test_service_without_endpoints_is_missed():
+def test_service_without_endpoints_is_missing():
     result = coverage.plan_query({"s": [], "t": []}, is_ready)
     assert {m.service for m in result.missing} == {"s", "t"}
 
@@ -83,7 +83,7 @@
     assert len(result.shards) == 2
 
 
-def test_key_restricts_to_its_shard():
+def test_key_restricts_the_plan_to_its_shard():
     endpoints = [
         build_endpoint("a", [(1, 0, HALF), (1, HALF, rows.KEY_SPACE)])
     ]
@@ -91,7 +91,7 @@
     assert [(s.low, s.high) for s in result.shards] == [(HALF, rows.KEY_SPACE)]
 
 
-def test_excluded_snapshot_is_not_taken():
+def test_excluded_snapshot_is_not_chosen():
     whole = rows.KEY_SPACE
     endpoints = [build_endpoint("a", [(1, 0, whole), (2, 0, whole)])]
     assert plan(endpoints, excluded=frozenset({2})).snapshot == 1
--- a/chervilspindle/query/directory.py
+++ b/chervilspindle/query/directory.py
@@ -1,4 +1,4 @@
-"""An entry's copy of the replicated tables, and what is derived from it."""
+"""An entry's copy of the replicated tables, with routes and query plans."""
 
 import logging
 import typing
@@ -19,7 +19,7 @@
 
 
 class Route(typing.NamedTuple):
-    """The VM that may send work to an endpoint, and under which epoch."""
+    """The VM that may send work to an endpoint, and its epoch."""
 
     vm: rows.Vm
     epoch: int
@@ -28,8 +28,8 @@
 class Directory:
     """Tables of one entry, kept current by deltas from control.
 
-    `sole_owner` is for the baseline without ownership: that session counts
-    as the owner of every endpoint.
+    `sole_owner` is set in the baseline without ownership: that session is
+    treated as the owner of every endpoint.
     """
 
     def __init__(self):
@@ -46,15 +46,20 @@
         self.sole_owner = ""
 
     def apply_delta(self, delta) -> bool:
-        """Put a delta in force.
+        """Apply a delta and notify the listeners.
 
-        Versions and revisions only grow: an older delta, such as one that
-        arrives late or from a member that lags, is refused.
+        Versions and revisions only increase: an older delta, which may be
+        delayed or come from a member that lags, is refused.
+
+        Returns
+        -------
+        bool
+            False if the delta was refused.
         """
         if delta.version < self.version:
             return False
         if delta.lists and delta.lists.revision < self.lists.revision:
-            LOGGER.error("refused an older revision of the lists")
+            LOGGER.error("refused a delta with an older revision of the lists")
             return False
         changed_ids = set()
         if delta.full:
@@ -71,17 +76,17 @@
         return True
 
     def list_services(self):
-        """Return all services that were ever announced or are in a plan."""
+        """Return all services that were announced or are named in a plan."""
         names = set(self.ids_by_service)
         for plan in self.lists.plans_by_name.values():
             names.update(s for s in plan.services if not _is_pattern(s))
         return names
 
     def get_route(self, endpoint_id: str) -> Route | None:
-        """Return who serves an endpoint now, None if nobody is known to.
+        """Return the route to the current owner of an endpoint, or None.
 
-        While an endpoint is handed over, that is the owner before, until it
-        is known to have done so.
+        During a handover that is the previous owner, until the handover is
+        known to be done.
         """
         ownership = self.ownership_by_id.get(endpoint_id)
         if ownership is None:
@@ -94,16 +99,16 @@
         return Route(vm, ownership.epoch) if vm is not None else None
 
     def record_handover(self, endpoint_id: str, epoch: int):
-        """Take in that an endpoint was handed over under a new epoch."""
+        """Record that an endpoint was handed over under a new epoch."""
         self.handed_over_epoch_by_id[endpoint_id] = epoch
 
     def invalidate_route(self, endpoint_id: str, epoch: int) -> bool:
-        """Take in that whoever served under `epoch` does so no longer.
+        """Record that the owner under `epoch` no longer serves an endpoint.
 
         Returns
         -------
         bool
-            True if another owner is known by now.
+            True if a later owner is known.
         """
         ownership = self.ownership_by_id.get(endpoint_id)
         if ownership is None or ownership.epoch <= epoch:
@@ -113,13 +118,13 @@
         return True
 
     def is_usable(self, endpoint) -> bool:
-        """Tell whether an endpoint takes work and has an owner."""
+        """Tell whether an endpoint is ready and has a known owner."""
         if endpoint.state != "ready":
             return False
         return self.get_route(endpoint.endpoint_id) is not None
 
     def plan_query(self, services, key_slot=None, excluded=frozenset()):
-        """Plan the shards of a query; see `coverage.plan_query`."""
+        """Return the plan of a query, cached; see `coverage.plan_query`."""
         query = (services, key_slot, excluded)
         plan = self.plan_by_query.get(query)
         if plan is not None:
@@ -146,9 +151,9 @@
         self.ids_by_service = {}
 
     def _apply_rows(self, delta, changed_ids):
-        """Take over the rows of a delta and note the endpoints they touch.
+        """Apply the rows of a delta; add changed endpoints to `changed_ids`.
 
-        The cost follows the size of the delta, not that of the tables.
+        The cost is proportional to the size of the delta, not of the tables.
         """
         for vm in delta.vms:
             self.vm_by_session[vm.session] = vm
@@ -184,7 +189,7 @@
             )
 
     def _remove_endpoint(self, endpoint_id):
-        """Forget an endpoint; its service stays known and is missed."""
+        """Remove an endpoint; its service stays listed, as missing."""
         current = self.endpoint_by_id.pop(endpoint_id, None)
         self.ownership_by_id.pop(endpoint_id, None)
         self.handed_over_epoch_by_id.pop(endpoint_id, None)
@@ -193,7 +198,7 @@
 
 
 def merge_lists(lists: rows.Lists, delta) -> rows.Lists:
-    """Return the lists with the rows of a `ListsDelta` in force."""
+    """Return the lists after a `ListsDelta` is applied."""
     customers = {} if delta.full else dict(lists.customers_by_name)
     plans = {} if delta.full else dict(lists.plans_by_name)
     customers.update((row.name, row) for row in delta.customers)
--- a/chervilspindle/query/endpoint_state.py
+++ b/chervilspindle/query/endpoint_state.py
@@ -1,4 +1,4 @@
-"""Rows of the endpoints that an entry owns, and of the work at them."""
+"""State of the endpoints that an entry owns and of the work at them."""
 
 import typing
 
@@ -7,7 +7,7 @@
 from chervilspindle.wire import messages
 
 MAX_DEADLINE_MS = 30000.0
-HANDOVER_COUNT_MS = 5000.0
+HANDOVER_COUNT_VALID_MS = 5000.0
 
 QUEUED = "queued"
 RUNNING = "running"
@@ -15,7 +15,10 @@
 
 
 class Job(typing.NamedTuple):
-    """What is to run: a part of a query, or a command."""
+    """What to run: a part of a query, or a command.
+
+    `key` is that of the command, None for a part of a query.
+    """
 
     request_id: str
     attempt: int
@@ -31,8 +34,8 @@
 class Work:
     """One job at one endpoint, from admission to its end.
 
-    `answered` tells that the gatherer has its reply; the slot stays taken
-    until the endpoint is known to be done with the job.
+    `answered` tells that a reply was sent or is no longer needed; the slot
+    stays occupied until the endpoint is known to have ended the job.
     """
 
     __slots__ = (
@@ -66,24 +69,29 @@
 
 
 def build_key(job: Job):
-    """Return the key under which a job can be cancelled."""
+    """Return the key of a job in cancellations."""
     return job.request_id, job.attempt, job.part.send
 
 
 def is_queued(work: Work) -> bool:
-    """Tell whether work still waits for a slot."""
+    """Tell whether work is waiting for a slot."""
     return work.state == QUEUED
 
 
 class Successor(typing.NamedTuple):
-    """Who is told of requests that end after a handover."""
+    """The new owner, notified when requests end after a handover."""
 
     link: object
     epoch: int
 
 
 class OwnedEndpoint:
-    """State of one endpoint while this VM owns it."""
+    """State of one endpoint while this VM owns it.
+
+    `inherited_running` counts requests of previous owners that may still
+    run; it is ignored from `inherited_until_ms` on. `released` tells that
+    this VM no longer serves the endpoint and waits for its requests to end.
+    """
 
     def __init__(self, row, epoch: int, client, now: float):
         self.row = row
@@ -93,36 +101,38 @@
         self.queue = fairness.FairQueue(is_queued)
         self.running = {}
         self.last_announced_ms = now
-        # Work of an earlier owner may still run; until the endpoint says
-        # how much, all its slots count as taken.
+        # Requests of an earlier owner may still run. All slots count as
+        # occupied until the number of these requests is reported.
         self.inherited_running = 0 if epoch == 1 else row.slots
         self.inherited_until_ms = 0.0 if epoch == 1 else now + MAX_DEADLINE_MS
-        self.handover_count_until_ms = 0.0
+        self.handover_count_valid_until_ms = 0.0
         self.reported_lost = False
         self.released = False
         self.successor = None
-        # An endpoint that answers no probe gets no work until it does.
+        # A suspect endpoint has not answered a probe; it gets no work until
+        # it answers one.
         self.suspect = False
         self.suspect_probe_ms = 0.0
 
     def set_inherited(self, running: int, now: float):
-        """Count requests that the owner before says it still runs.
+        """Set the number of running requests that a previous owner reported.
 
-        What it says goes before reports of the endpoint, which may lag.
+        For `HANDOVER_COUNT_VALID_MS` it takes precedence over announcements
+        of the endpoint, which may be outdated.
         """
         self.inherited_running = min(self.row.slots, running)
-        self.handover_count_until_ms = now + HANDOVER_COUNT_MS
+        self.handover_count_valid_until_ms = now + HANDOVER_COUNT_VALID_MS
         if not running:
             self.inherited_until_ms = 0.0
 
     def accepts_work(self, now: float) -> bool:
-        """Tell whether the endpoint may be sent work at all."""
+        """Tell whether the endpoint is ready, not suspect and not paused."""
         if self.suspect or now < self.limit.stalled_until_ms:
             return False
         return self.row.state == "ready"
 
     def count_free_slots(self, now: float) -> int:
-        """Return the slots that may be used now."""
+        """Return the number of requests that may be dispatched now."""
         inherited_running = (
             self.inherited_running if now < self.inherited_until_ms else 0
         )
--- a/chervilspindle/query/entry.py
+++ b/chervilspindle/query/entry.py
@@ -1,4 +1,4 @@
-"""The entry role of a VM: session, directory, gatherer, owner, commands."""
+"""The entry role of a VM, and its handlers of messages from peers."""
 
 import functools
 import random
@@ -32,32 +32,32 @@
 
 
 class LocalTarget:
-    """Takes the owner's replies to this entry's own parts."""
+    """Delivers replies of the local owner to the local gatherer."""
 
     def __init__(self, gatherer):
         self.gatherer = gatherer
 
     def send(self, message):
-        """Pass replies to the gatherer."""
+        """Pass a reply to the gatherer."""
         self.gatherer.receive(message)
 
 
 class Entry:
-    """One entry process.
+    """One process of the entry role.
 
     Parameters
     ----------
     settings : Settings
     network : PeerNetwork
-        Its handler has to pass messages to `handle`.
+        Its handler must pass messages to `handle`.
     build_client : callable
-        Builds endpoint clients.
+        ``build_client(address, connections)`` returns an endpoint client.
     timers : TimerService
     read_clock : callable
         Monotonic milliseconds.
     metrics : Metrics
     seed : int, optional
-        Seed of random choices.
+        Seed for random choices.
     """
 
     def __init__(
@@ -134,14 +134,14 @@
         network.lost_listeners.append(self.gatherer.handle_connection_lost)
 
     def start(self):
-        """Start the session and the periodic work."""
+        """Start the session and the periodic tasks."""
         self.session.start()
         self.timers.subscribe(
             "entry-state", STATE_METRICS_PERIOD_S, self._update_state_metrics
         )
 
     def is_ready(self) -> bool:
-        """Tell whether the balancer may send callers here."""
+        """Tell whether the load balancer may send requests here."""
         return (
             self.lifecycle.get_state() == "ready" and self.session.is_valid()
         )
@@ -152,7 +152,7 @@
 
         Returns
         -------
-        Deferred of running.Answer
+        Deferred of query_state.Answer
             Fails with `ProblemError`.
         """
         request_id = gather.build_request_id(self.settings.vm_id)
@@ -171,7 +171,7 @@
         Returns
         -------
         Deferred of (str, bytes)
-            Request id and JSON of the value. Fails with `ProblemError`.
+            Request id, and the value as JSON. Fails with `ProblemError`.
         """
         request_id = gather.build_request_id(self.settings.vm_id)
         grant = self._admit(header, request_id)
@@ -183,7 +183,7 @@
         return request_id, value
 
     def handle_announcement(self, endpoint: rows.Endpoint, in_use: int):
-        """Take in what an endpoint announced."""
+        """Report an announced endpoint to control, its load to its owner."""
         current = self.directory.endpoint_by_id.get(endpoint.endpoint_id)
         if current is not None and current.incarnation > endpoint.incarnation:
             return
@@ -212,7 +212,7 @@
 
     @defer.inlineCallbacks
     def apply_lists(self, parsed, if_revision, change_id):
-        """Ask control to replace the two lists.
+        """Ask control to replace the lists of customers and plans.
 
         Returns
         -------
@@ -241,7 +241,7 @@
 
     @defer.inlineCallbacks
     def explain_request(self, request_id: str):
-        """Find the decisions of a request, here or at its gatherer.
+        """Return the decisions on a request, from here or its gathering VM.
 
         Returns
         -------
@@ -264,18 +264,18 @@
         return b""
 
     def handle(self, link, message):
-        """Handle a message of a peer."""
+        """Handle a message from a peer."""
         return handle_peer(message, self, link)
 
     @defer.inlineCallbacks
     def drain(self):
-        """Hand over endpoints, stop admitting, end what is in flight."""
+        """Hand over endpoints, stop admitting, wait for requests in flight."""
         self.lifecycle.drain()
         logs.log_decision("drain", session=self.session.vm.session)
         self.session.set_state("draining")
         due = self.timers.clock.seconds() + self.settings.drain_seconds
-        # Callers are served until the balancer has seen the failing
-        # readiness check and sends no more of them.
+        # Serve requests until the load balancer has noticed the failing
+        # readiness check and sends no more.
         yield self._pause(READY_LINGER_S)
         self.is_rejecting = True
         while self.timers.clock.seconds() < due and self._is_busy():
@@ -293,12 +293,12 @@
         )
 
     def _can_hand_over(self):
-        """Tell whether endpoints of this VM are still to be handed over."""
+        """Tell whether this VM has endpoints that another can take over."""
         if not self.owner.owned_by_id or not self.session.is_valid():
             return False
-        own = self.session.vm.session
+        own_session = self.session.vm.session
         return any(
-            vm.state == "ready" and vm.session != own
+            vm.state == "ready" and vm.session != own_session
             for vm in self.directory.vm_by_session.values()
         )
 
@@ -312,7 +312,7 @@
         if not self.session.is_valid():
             raise errors.build_error(
                 errors.ErrorKind.NO_LEASE,
-                "this VM has no lease from control",
+                "this VM has no valid lease from control",
                 request_id=request_id,
             )
         grant = requests.authenticate(header, self.directory.lists)
@@ -337,7 +337,7 @@
         )
         raise errors.build_error(
             errors.ErrorKind.OVER_PLAN,
-            f"more than the plan's {rate:g} requests a second",
+            f"rate limit of the plan exceeded: {rate:g} requests per second",
             retry_after_ms=verdict.retry_after_ms,
             request_id=request_id,
         )
@@ -370,7 +370,7 @@
         if not 0 < length <= requests.MAX_KEY_CHARACTERS:
             raise errors.build_error(
                 errors.ErrorKind.MALFORMED,
-                "an Idempotency-Key of 1 to 200 characters is needed",
+                "Idempotency-Key must have 1 to 200 characters",
                 source="header Idempotency-Key",
             )
         return commands.CommandRequest(
@@ -402,7 +402,7 @@
 
     def _send_to_owner(self, vm, message):
         if vm.session == self.session.vm.session:
-            # The reply comes in a later turn, as it would from a peer.
+            # Deliver in a later turn of the event loop, as from a peer.
             self.timers.call_later(
                 0, handle_peer, message, self, self.local_target
             )
@@ -442,8 +442,16 @@
 
 @functools.singledispatch
 def handle_peer(message, entry: Entry, link):
-    """Handle one message of a peer; returns a reply, Deferred or None."""
-    raise TypeError(f"not a message for an entry: {type(message).__name__}")
+    """Handle a message from a peer.
+
+    Returns
+    -------
+    message, Deferred of message, or None
+        The reply, if the message has one.
+    """
+    raise TypeError(
+        f"an entry does not accept {type(message).__name__} messages"
+    )
 
 
 @handle_peer.register
@@ -491,7 +499,7 @@
 
 
 def describe_lists(lists: rows.Lists) -> dict:
-    """Return the lists with their revision, as operators read them."""
+    """Return the lists and their revision in the format for operators."""
     return {
         "revision": lists.revision,
         **lists_module.describe_lists(lists),
--- a/chervilspindle/query/explain.py
+++ b/chervilspindle/query/explain.py
@@ -1,4 +1,4 @@
-"""Remembers what was decided for recent requests."""
+"""Record of the decisions on recent requests, for /v1/explain."""
 
 import collections
 import json
@@ -9,13 +9,13 @@
 
 
 class Explainer:
-    """Logs decisions and keeps those of the latest requests."""
+    """Logs decisions and keeps those on the latest `MAX_REQUESTS` requests."""
 
     def __init__(self):
         self.decisions_by_id = collections.OrderedDict()
 
     def record(self, request_id: str, decision: str, **fields):
-        """Log a decision and remember it."""
+        """Log a decision and keep it."""
         logs.log_decision(decision, request_id=request_id, **fields)
         decisions = self.decisions_by_id.get(request_id)
         if decisions is None:
@@ -25,7 +25,7 @@
         decisions.append({"decision": decision, **fields})
 
     def describe(self, request_id: str) -> bytes:
-        """Return the decisions as JSON, empty if none are known."""
+        """Return the decisions on a request as JSON, empty if none."""
         decisions = self.decisions_by_id.get(request_id)
         if decisions is None:
             return b""
--- a/chervilspindle/query/gather.py
+++ b/chervilspindle/query/gather.py
@@ -1,8 +1,8 @@
-"""Gathers an answer: picks replicas, sends parts to owners, merges replies.
+"""Scatter-gather of queries: choice of replicas, sends, merge of replies.
 
-A query reads one snapshot. Each shard is settled once, by the first good
-reply to one of its parts; a reply that belongs to another attempt, shard or
-snapshot is dropped. The answer goes out as soon as every shard is settled.
+A query reads one snapshot. Each shard is settled once, by the first
+successful reply to one of its parts; a reply to another attempt, shard or
+snapshot is dropped. The query is answered as soon as every shard is settled.
 """
 
 import heapq
@@ -20,7 +20,7 @@
 from chervilspindle.query import query_state
 from chervilspindle.wire import messages
 
-TICK_S = 0.002
+MIN_TICK_DELAY_S = 0.002
 MAX_ATTEMPTS = 3
 MAX_SENDS = 5
 RETRY_PAUSE_MS = 60.0
@@ -28,24 +28,24 @@
 
 
 class Gatherer:
-    """All queries that this entry gathers.
+    """Runs the queries that this entry has admitted.
 
     Parameters
     ----------
     vm : rows.Vm
     directory : Directory
     send : callable
-        ``send(vm, message)`` to an owner; may lose the message.
+        ``send(vm, message)`` sends to an owner; delivery is not guaranteed.
     timers : TimerService
     read_clock : callable
         Monotonic milliseconds.
     explainer : Explainer
     metrics : Metrics
     extra_load_share : float
-        Budget of hedges.
+        Hedges allowed per part sent.
     random : random.Random
     baselines : tuple of str
-        Mechanisms that an experiment switches off.
+        Mechanisms that are disabled, for baseline measurements.
     """
 
     def __init__(
@@ -68,8 +68,8 @@
         self.explainer = explainer
         self.metrics = metrics
         self.random = random
-        self.is_hedging = "no-hedge" not in baselines
-        self.is_random = "random-replica" in baselines
+        self.hedging_enabled = "no-hedge" not in baselines
+        self.picks_random_replica = "random-replica" in baselines
         self.hedge_budget = hedging.build_budget(
             extra_load_share, hedging.HEDGE_BURST
         )
@@ -88,7 +88,7 @@
         self.timed_events = []
         self.event_number = 0
         self.timers = timers
-        self.tick_call = None
+        self.tick_timer = None
         self.next_tick_ms = math.inf
 
     def submit(self, request: query_state.QueryRequest) -> defer.Deferred:
@@ -96,7 +96,7 @@
 
         Returns
         -------
-        Deferred of running.Answer
+        Deferred of query_state.Answer
             Fails with `ProblemError`.
         """
         now = self.read_clock()
@@ -109,7 +109,7 @@
         return query.deferred
 
     def receive(self, message: messages.SubReply):
-        """Take replies of an owner."""
+        """Handle the replies of an owner."""
         query = self.query_by_id.get(message.request_id)
         if query is None or message.attempt != query.attempt:
             return
@@ -122,7 +122,7 @@
         self._finish_if_settled(query)
 
     def handle_connection_lost(self, address: str):
-        """Handle the loss of a link: what was sent on it may have run."""
+        """Fail the parts sent over a lost connection; they may have run."""
         for query in list(self.query_by_id.values()):
             for shard in query.shards:
                 for number, send in list(shard.outstanding.items()):
@@ -131,7 +131,7 @@
             self._finish_if_settled(query)
 
     def tick(self):
-        """Run what is due: hedges, retries and deadlines."""
+        """Run the hedges, retries and deadlines that are due."""
         self.next_tick_ms = math.inf
         now = self.read_clock()
         while self.timed_events and self.timed_events[0][0] <= now:
@@ -149,7 +149,7 @@
         self._schedule_tick()
 
     def choose_endpoint(self, endpoint_ids):
-        """Return the replica with the least expected finish, or None."""
+        """Return the usable replica expected to finish first, or None."""
         candidates = [
             self._build_candidate(endpoint_id)
             for endpoint_id in endpoint_ids
@@ -157,7 +157,7 @@
         ]
         if not candidates:
             return None
-        if self.is_random:
+        if self.picks_random_replica:
             return self.random.choice(candidates).endpoint_id
         best = replicas.choose_replica(
             candidates, self.read_clock(), self.random.random
@@ -172,7 +172,7 @@
         return self.directory.plan_query(request.services, slot, excluded)
 
     def _check_capacity(self, request, parts):
-        own = self.parts_by_customer.get(request.customer, 0)
+        customer_parts = self.parts_by_customer.get(request.customer, 0)
         active = sum(
             self.weight_by_customer[c]
             for c in self.parts_by_customer
@@ -180,11 +180,15 @@
         )
         load = admission.EntryLoad(self.parts_in_flight, MAX_PARTS_IN_FLIGHT)
         if not admission.may_admit(
-            load, own, parts, request.weight, active + request.weight
+            load,
+            customer_parts,
+            parts,
+            request.weight,
+            active + request.weight,
         ):
             raise errors.build_error(
                 errors.ErrorKind.OVER_PLAN,
-                "too many requests in flight for the customer's share",
+                "requests in flight exceed the customer's share of this VM",
                 request_id=request.request_id,
             )
 
@@ -228,7 +232,7 @@
         self._finish_if_settled(query)
 
     def _send_parts(self, query, chosen, reason, insist=False):
-        """Send parts, one message for each owner."""
+        """Send parts to their owners, one message per owner."""
         now = self.read_clock()
         parts_by_session = {}
         for shard, endpoint_id in chosen:
@@ -248,7 +252,7 @@
                 endpoint_id, epoch, vm.peer_address, now
             )
             shard.tried.append(endpoint_id)
-            shard.sent_ms = shard.sent_ms or now
+            shard.first_sent_ms = shard.first_sent_ms or now
             self._update_stats(endpoint_id, replicas.note_sent, now)
             self._schedule_hedge(query, shard, now)
         request = query.request
@@ -275,7 +279,7 @@
             self.send(self.directory.vm_by_session[session], message)
 
     def _schedule_hedge(self, query, shard, now, kind="hedge"):
-        if not self.is_hedging or len(shard.plan.endpoint_ids) < 2:
+        if not self.hedging_enabled or len(shard.plan.endpoint_ids) < 2:
             return
         delay = hedging.get_delay_ms(self.lateness, shard.plan.service)
         if now + delay < query.due_ms:
@@ -290,27 +294,27 @@
         self._schedule_tick()
 
     def _schedule_tick(self):
-        """Have `tick` run when the first item of the agenda is due."""
+        """Have `tick` run when the earliest timed event is due."""
         if (
             not self.timed_events
             or self.timed_events[0][0] >= self.next_tick_ms
         ):
             return
-        if self.tick_call is not None and self.tick_call.active():
-            self.tick_call.cancel()
+        if self.tick_timer is not None and self.tick_timer.active():
+            self.tick_timer.cancel()
         self.next_tick_ms = self.timed_events[0][0]
         delay_s = (self.next_tick_ms - self.read_clock()) / 1000.0
-        self.tick_call = self.timers.call_later(
-            max(delay_s, TICK_S), self.tick
+        self.tick_timer = self.timers.call_later(
+            max(delay_s, MIN_TICK_DELAY_S), self.tick
         )
 
     def _hedge(self, query, shard, is_rescue):
-        """Send a late part to another replica, if a budget allows it.
+        """Send a late part to another replica, if the budget allows it.
 
-        A part for which the budget of hedges has no room is looked at once
-        more after the same delay. One that is still out by then is truly
-        late, which is rare unless endpoints straggle, and has a budget of
-        its own: extra load grows only while it is of use.
+        A part that the hedge budget refused is checked once more after the
+        same delay. If it is still unanswered, its hedge ("rescue") spends a
+        separate budget. Such parts are rare unless endpoints are slow, so
+        this adds load only when it is useful.
         """
         if shard.settled or len(shard.tried) >= MAX_SENDS:
             return
@@ -333,9 +337,9 @@
 
     def _is_straggler(self, query, shard):
         delay = hedging.get_delay_ms(self.lateness, shard.plan.service)
-        late = (self.read_clock() - shard.sent_ms) / delay
+        delay_ratio = (self.read_clock() - shard.first_sent_ms) / delay
         return hedging.is_straggler(
-            len(query.shards), query.unsettled_count, late
+            len(query.shards), query.unsettled_count, delay_ratio
         )
 
     def _spend_hedge(self, is_rescue):
@@ -357,10 +361,10 @@
             self._schedule_hedge(query, shard, self.read_clock(), "rescue")
 
     def _choose_hedge(self, shard):
-        """Return another replica; one that was tried if none is left.
+        """Return an untried replica, or any replica if all were tried.
 
-        A hedge may be late itself, and lateness is most often one of the
-        request and not of the endpoint.
+        A hedge may be late too, and a delay is more often specific to one
+        request than to the endpoint, so trying a replica twice can help.
         """
         untried = [i for i in shard.plan.endpoint_ids if i not in shard.tried]
         endpoint_id = self.choose_endpoint(untried)
@@ -399,10 +403,11 @@
         self._retry_or_settle(query, shard, reply.dispatched)
 
     def _follow_handover(self, query, shard, send, reply):
-        """Send a part on to the new owner of an endpoint.
+        """Resend a part to the new owner of the same endpoint.
 
-        The refusal says nothing of the endpoint: the part waits there for
-        its turn as it would have with the owner before.
+        A refusal by the previous owner is no sign of a failing endpoint, so
+        the endpoint is kept: the part queues for it at the new owner as it
+        did at the previous one.
         """
         if reply.status != errors.ErrorKind.NOT_OWNER.value or shard.settled:
             return False
@@ -423,7 +428,7 @@
         self.lateness = hedging.note_latency(
             self.lateness,
             shard.plan.service,
-            now - shard.sent_ms,
+            now - shard.first_sent_ms,
             self.hedge_budget.share,
         )
         self._cancel_parts(query, (shard,))
@@ -446,7 +451,10 @@
             self._retry_or_settle(query, shard, True)
 
     def _retry_or_settle(self, query, shard, dispatched):
-        """Retry a failed part once more if there is reason to hope."""
+        """Retry a failed part, now or later, or settle its shard as missing.
+
+        Does nothing while another send for the shard is outstanding.
+        """
         if shard.outstanding:
             return
         now = self.read_clock()
@@ -458,7 +466,7 @@
             if not granted:
                 endpoint_id = None
         if endpoint_id is None:
-            if not self._pause_retry(query, shard, now):
+            if not self._schedule_paused_retry(query, shard, now):
                 self._settle_missing(query, shard, shard.reason)
             return
         query.retries += 1
@@ -468,14 +476,22 @@
             query, [(shard, endpoint_id)], f"retry after {shard.reason}"
         )
 
-    def _pause_retry(self, query, shard, now):
-        """Put off a shard whose replicas were all refused for the moment.
+    def _schedule_paused_retry(self, query, shard, now):
+        """Schedule a delayed retry after transient refusals by all replicas.
+
+        An owner that has paused an endpoint or has just handed it over
+        refuses parts without running them, so a retry puts no load on the
+        endpoints.
 
-        An owner that pauses an endpoint, or that has just handed it over,
-        refuses parts without running them, so trying again costs endpoints
-        nothing.
+        Returns
+        -------
+        bool
+            True if a retry is scheduled.
         """
-        if shard.reason not in _TRANSIENT or len(shard.tried) >= MAX_SENDS:
+        if (
+            shard.reason not in _TRANSIENT_REFUSALS
+            or len(shard.tried) >= MAX_SENDS
+        ):
             return False
         if now + RETRY_PAUSE_MS >= query.due_ms:
             return False
@@ -484,7 +500,10 @@
         return True
 
     def _retry_paused(self, query, shard):
-        """Try a shard again that was refused everywhere."""
+        """Run a retry scheduled by `_schedule_paused_retry`.
+
+        The part asks the owner to try the endpoint even if it is paused.
+        """
         if shard.settled or shard.outstanding:
             return
         endpoint_id = self.choose_endpoint(shard.plan.endpoint_ids)
@@ -510,7 +529,11 @@
         return self.choose_endpoint(shard.plan.endpoint_ids)
 
     def _restart_on_other_snapshot(self, query, shard):
-        """Start again on another snapshot; parts of the old one are void."""
+        """Restart a query on another snapshot and cancel the current attempt.
+
+        `shard` is settled as missing if no attempt, time or snapshot is
+        left.
+        """
         now = self.read_clock()
         excluded = query.excluded | {query.plan.snapshot}
         plan = self._plan_query(query.request, excluded)
@@ -566,7 +589,7 @@
             self._finish(query)
 
     def _finish(self, query):
-        """Give the final answer, whole or with what is missing."""
+        """Answer a query, or fail it if it has no result that may be sent."""
         request = query.request
         del self.query_by_id[request.request_id]
         self._add_parts_in_flight(request, -len(query.shards))
@@ -574,7 +597,7 @@
         for shard in query.shards:
             if not shard.settled:
                 shard.reason = deadline
-                self._mark_waiting_failed(shard)
+                self._mark_unanswered_failed(shard)
         self._cancel_parts(query, query.shards)
         missing = answers.list_missing(query)
         results = answers.list_results(query)
@@ -587,8 +610,8 @@
         )
         query.deferred.callback(answer)
 
-    def _mark_waiting_failed(self, shard):
-        """Avoid for a while the endpoints that kept a shard waiting."""
+    def _mark_unanswered_failed(self, shard):
+        """Avoid, for a while, the endpoints that have not answered a shard."""
         now = self.read_clock()
         for send in shard.outstanding.values():
             self._update_stats(send.endpoint_id, replicas.mark_failed, now)
@@ -611,9 +634,9 @@
 
     def _add_parts_in_flight(self, request, count):
         self.parts_in_flight += count
-        left = self.parts_by_customer.get(request.customer, 0) + count
-        if left > 0:
-            self.parts_by_customer[request.customer] = left
+        remaining = self.parts_by_customer.get(request.customer, 0) + count
+        if remaining > 0:
+            self.parts_by_customer[request.customer] = remaining
             self.weight_by_customer[request.customer] = request.weight
         else:
             self.parts_by_customer.pop(request.customer, None)
@@ -640,7 +663,7 @@
         )
 
 
-_TRANSIENT = errors.collect_values(
+_TRANSIENT_REFUSALS = errors.collect_values(
     errors.ErrorKind.NO_ENDPOINT, errors.ErrorKind.NOT_OWNER
 )
 
@@ -654,5 +677,5 @@
 
 
 def build_request_id(vm_id: str) -> str:
-    """Return a unique request id that names the gathering VM."""
+    """Return a unique request id; its prefix names the VM of the query."""
     return f"{vm_id}~{uuid.uuid4().hex}"
--- a/chervilspindle/query/handover.py
+++ b/chervilspindle/query/handover.py
@@ -1,12 +1,13 @@
-"""Planned moves of endpoints between live owners, without a gap.
-
-Control grants an endpoint to a new owner while the owner before still
-serves it. The new owner waits until the other entries have heard of the
-grant, then asks the one before for the endpoint. That one stops sending
-work, passes its queue back to the gatherers, who send it on, and answers how
-much still runs; from then on the new owner fills the other slots. If the
-owner before can't be asked, it goes on serving until it answers, leaves or
-loses its lease, which control then tells the new owner.
+"""Planned handover of endpoints between live owners, without interruption.
+
+Control grants an endpoint to a new owner while the previous owner still
+serves it. The new owner waits until the grant has reached the other entries,
+then requests the endpoint from the previous owner. The previous owner stops
+sending work, refuses its queue, which gatherers resend to the new owner, and
+replies with the number of requests that still run; the new owner uses the
+other slots at once. A previous owner that can't be reached goes on serving
+until it replies, leaves or loses its lease; control reports the latter two
+to the new owner.
 """
 
 import typing
@@ -16,39 +17,40 @@
 from chervilspindle.core import rows
 from chervilspindle.wire import messages
 
-GRANT_PROPAGATION_S = 1.2  # longer than the period of heartbeats
+GRANT_PROPAGATION_S = 1.2  # longer than the heartbeat period
 CALL_TIMEOUT_S = 0.5
 RETRY_S = 0.3
 
 
 class PendingHandover(typing.NamedTuple):
-    """An endpoint that this VM waits for, and under which epoch."""
+    """A handover to this VM that is not complete; `epoch` is the new one."""
 
     endpoint_id: str
     epoch: int
 
 
-def may_serve(row: rows.Ownership | None, own: str, epoch: int) -> bool:
-    """Tell whether a session may go on serving under an epoch.
+def may_serve(
+    row: rows.Ownership | None, own_session: str, epoch: int
+) -> bool:
+    """Tell whether a session may continue to serve under an epoch.
 
     Parameters
     ----------
     row : Ownership or None
-        As this VM knows it.
-    own : str
-        The session.
+        The latest that this VM has received.
+    own_session : str
     epoch : int
-        Under which it serves the endpoint.
+        Epoch under which the session serves the endpoint.
     """
     if row is None:
         return False
-    if row.previous == own and row.epoch == epoch + 1:
+    if row.previous == own_session and row.epoch == epoch + 1:
         return True
-    return row.session == own and row.epoch == epoch
+    return row.session == own_session and row.epoch == epoch
 
 
 class HandoverManager:
-    """Asks for endpoints granted to this VM, and hands over its own.
+    """Requests endpoints granted to this VM and hands over those it serves.
 
     Parameters
     ----------
@@ -70,25 +72,26 @@
         self.released_epoch_by_id = {}
 
     def get_serving_epoch(self, row: rows.Ownership) -> int:
-        """Return the epoch that may be used without asking anybody, or 0.
+        """Return the epoch under which this VM may serve now, or 0.
 
-        An owner may hear of its grant and of the next owner at once; it
-        serves under its own grant until it is asked for the endpoint.
+        A grant and the grant of the next owner may arrive in one update;
+        this VM then serves under its own until the next owner requests the
+        endpoint.
         """
-        own = self.session.vm.session
-        given = self.released_epoch_by_id.get(row.endpoint_id, 0)
-        if row.epoch <= given:
+        own_session = self.session.vm.session
+        released_epoch = self.released_epoch_by_id.get(row.endpoint_id, 0)
+        if row.epoch <= released_epoch:
             return 0
-        if row.previous == own:
+        if row.previous == own_session:
             return row.epoch - 1
-        if row.session == own and not row.previous:
+        if row.session == own_session and not row.previous:
             return row.epoch
         return 0
 
     def schedule_request(self, row: rows.Ownership | None):
-        """Plan to ask for an endpoint that another session still serves."""
-        own = self.session.vm.session
-        if row is None or row.session != own or not row.previous:
+        """Schedule the request for an endpoint granted to this VM."""
+        own_session = self.session.vm.session
+        if row is None or row.session != own_session or not row.previous:
             return
         pending = PendingHandover(row.endpoint_id, row.epoch)
         if self.pending_by_id.get(row.endpoint_id) == pending:
@@ -99,12 +102,14 @@
         )
 
     def hand_over(self, message: messages.HandOverCall, link):
-        """Stop serving an endpoint and say how much still runs there."""
+        """Release an endpoint; reply with the number of running requests."""
         if message.previous != self.session.vm.session:
             return messages.HandOverReply(False, 0)
         endpoint_id = message.endpoint_id
-        given = self.released_epoch_by_id.get(endpoint_id, 0)
-        self.released_epoch_by_id[endpoint_id] = max(given, message.epoch)
+        released_epoch = self.released_epoch_by_id.get(endpoint_id, 0)
+        self.released_epoch_by_id[endpoint_id] = max(
+            released_epoch, message.epoch
+        )
         self.directory.record_handover(endpoint_id, message.epoch)
         running = self.owner.release_to_successor(
             endpoint_id, message.epoch, link
--- a/chervilspindle/query/health.py
+++ b/chervilspindle/query/health.py
@@ -1,10 +1,10 @@
-"""Watches the endpoints of an owner: silent links, stalls, lost endpoints.
+"""Health checks of owned endpoints: dead connections, stalls, lost endpoints.
 
-A request that is late is asked after on a fresh connection. What comes back
-tells a slow endpoint from a connection that something between the two ends
-has lost track of. An endpoint that answers no probe is suspect and gets no
-work until it does; one that takes requests and ends none is paused; one that
-announces itself no more is reported as lost.
+A late request is probed on a new connection. The answer distinguishes a slow
+endpoint from a connection whose state was dropped by a device on the path.
+An endpoint that does not answer a probe is suspect and gets no work until it
+does; one that accepts requests and completes none is paused; one that stops
+announcing itself is reported as lost.
 """
 
 import logging
@@ -26,7 +26,7 @@
 
 
 class HealthMonitor:
-    """Checks of the endpoints of one owner.
+    """Checks the health of the endpoints of one owner.
 
     Parameters
     ----------
@@ -37,13 +37,13 @@
         self.owner = owner
 
     def get_probe_delay_ms(self, owned) -> float:
-        """Return after how long a request at an endpoint is asked after."""
+        """Return the age at which a running request is probed, in ms."""
         return max(
             MIN_PROBE_DELAY_MS, PROBE_DELAY_RATIO * owned.limit.service_ms
         )
 
     def probe(self, owned, work):
-        """Ask on a fresh connection whether a late request is running."""
+        """Ask on a new connection whether a late request is still running."""
         work.probing = True
         self.owner.metrics.count_probe()
         deferred = owned.client.probe(work.run_id)
@@ -55,11 +55,13 @@
         now = self.owner.read_clock()
         if work.state != endpoint_state.RUNNING:
             return
-        late = now - work.started_ms
-        work.probe_ms = now + min(MAX_PROBE_INTERVAL_MS, PROBE_BACKOFF * late)
+        elapsed_ms = now - work.started_ms
+        work.probe_ms = now + min(
+            MAX_PROBE_INTERVAL_MS, PROBE_BACKOFF * elapsed_ms
+        )
         self._update_suspect(owned, state is not None)
         if state is None:
-            # The slot stays taken; the gatherer may try elsewhere.
+            # The slot stays occupied; the gatherer may try another replica.
             self._answer_connection_lost(owned, work)
             return
         if state.state == "running":
@@ -78,7 +80,7 @@
                 _get_result_status(work.job, state.result),
                 True,
                 0,
-                late,
+                elapsed_ms,
                 bytes(state.result.value),
             )
         work.call.cancel()
@@ -107,10 +109,10 @@
             self.owner.refuse_queue(owned, errors.ErrorKind.NO_ENDPOINT)
 
     def check_stalled(self, owned, now):
-        """Give up on an endpoint that takes requests and ends none.
+        """Pause an endpoint that accepts requests and completes none.
 
-        Its slots stay taken. Parts are answered as lost, so that gatherers
-        try other replicas; a command waits for its outcome.
+        Its slots stay occupied. Parts are answered as lost, so that
+        gatherers try other replicas; commands wait for their outcome.
         """
         if not owned.running or now < owned.limit.stalled_until_ms:
             return
@@ -130,7 +132,7 @@
         self.owner.refuse_queue(owned, errors.ErrorKind.NO_ENDPOINT)
 
     def check_suspect(self, owned, now):
-        """Probe a suspect endpoint until it answers again."""
+        """Probe a suspect endpoint periodically until it answers."""
         if not owned.suspect or now < owned.suspect_probe_ms:
             return
         owned.suspect_probe_ms = now + SUSPECT_PROBE_INTERVAL_MS
@@ -142,9 +144,10 @@
         deferred.addErrback(_log_failure)
 
     def check_announcements(self, owned, now):
-        """Report an endpoint as lost that announces itself no more."""
+        """Report an endpoint that stopped announcing itself as lost."""
         if self.owner.directory.sole_owner:
-            # Each announcement reaches one entry, which here owns all.
+            # Without ownership every entry counts as owner of all endpoints,
+            # but each announcement reaches only one entry.
             return
         if (
             owned.reported_lost
@@ -160,7 +163,7 @@
 
 
 def _get_result_status(job, result) -> str:
-    """Return the status of a result that a probe brought."""
+    """Return the status of a result that a probe returned."""
     if result.kind:
         return result.kind
     if job.key is None and result.snapshot != job.snapshot:
@@ -169,4 +172,4 @@
 
 
 def _log_failure(failure):
-    LOGGER.error("health check failed: %s", failure.getTraceback())
+    LOGGER.error("endpoint health check failed: %s", failure.getTraceback())
--- a/chervilspindle/query/owner.py
+++ b/chervilspindle/query/owner.py
@@ -1,9 +1,9 @@
-"""Owned endpoints of this VM: their queues, slots, health and dispatch.
+"""Queueing and dispatch of work to the endpoints that this VM owns.
 
 Only the owner of an endpoint sends it work, so its slots, the shares of
 customers and the priorities are enforced here exactly. Before each dispatch
-the owner checks its lease on its own clock; an owner that was frozen or cut
-off dispatches nothing when it wakes.
+the owner checks its lease on its own clock, so that a process that was
+suspended or partitioned dispatches nothing after its lease has expired.
 """
 
 import itertools
@@ -29,7 +29,7 @@
 
 
 class Owner:
-    """All endpoints that this VM owns.
+    """Queues work for the endpoints that this VM owns, and dispatches it.
 
     Parameters
     ----------
@@ -42,9 +42,10 @@
         Monotonic milliseconds.
     metrics : Metrics
     call : callable
-        ``call(vm, message, timeout_s)`` calls the owner of another VM.
+        ``call(vm, message, timeout_s)`` calls the owner on a VM and returns
+        a Deferred.
     is_fair : bool
-        False for first come, first served, as a baseline of experiments.
+        False for first come, first served, as a measurement baseline.
     """
 
     def __init__(
@@ -82,20 +83,20 @@
         timers.subscribe("owner", FULL_PASS_S, self.tick)
 
     def update_owned(self, endpoint_ids):
-        """Take up and give up endpoints as the directory now says.
+        """Start and stop serving endpoints after a change of the directory.
 
         Parameters
         ----------
         endpoint_ids : set of str
             Endpoints whose rows changed.
         """
-        own = self.session.vm.session
+        own_session = self.session.vm.session
         for endpoint_id in endpoint_ids:
             row = self.directory.ownership_by_id.get(endpoint_id)
             endpoint = self.directory.endpoint_by_id.get(endpoint_id)
             owned = self.owned_by_id.get(endpoint_id)
             if owned and not (
-                endpoint and handover.may_serve(row, own, owned.epoch)
+                endpoint and handover.may_serve(row, own_session, owned.epoch)
             ):
                 self._stop_serving(endpoint_id)
                 owned = None
@@ -105,7 +106,15 @@
                 self._update_row(owned, endpoint)
 
     def take_over(self, endpoint, epoch: int, running: int):
-        """Serve an endpoint whose owner before said how much runs there."""
+        """Start serving an endpoint that its previous owner handed over.
+
+        Parameters
+        ----------
+        endpoint : rows.Endpoint
+        epoch : int
+        running : int
+            Requests of the previous owner that still run there.
+        """
         self._start_serving(endpoint, epoch)
         owned = self.owned_by_id[endpoint.endpoint_id]
         now = self.read_clock()
@@ -113,27 +122,27 @@
         self._dispatch(owned, now)
 
     def release_to_successor(self, endpoint_id: str, epoch: int, link) -> int:
-        """Stop serving an endpoint for the owner under a later epoch.
+        """Stop serving an endpoint in favour of the owner of a later epoch.
 
         Parameters
         ----------
         link : object
-            Its ``send(message)`` reaches the new owner.
+            Its ``send(message)`` sends to the new owner.
 
         Returns
         -------
         int
-            How many requests still run there.
+            Requests that still run there.
         """
         owned = self.owned_by_id.get(endpoint_id)
         if owned is not None and owned.epoch < epoch:
             self._stop_serving(endpoint_id)
         for owned in self._list_closing(endpoint_id):
             owned.successor = endpoint_state.Successor(link, epoch)
-        return self._count_remaining(endpoint_id)
+        return self._count_closing_runs(endpoint_id)
 
     def handle_slots_left(self, message: messages.SlotsLeft):
-        """Take in how much work of the owner before still runs."""
+        """Update how many requests of the previous owner still run."""
         owned = self.owned_by_id.get(message.endpoint_id)
         if owned is not None and owned.epoch == message.epoch:
             now = self.read_clock()
@@ -149,7 +158,7 @@
         ----------
         message : SubQuery
         target : object
-            Its ``send(message)`` takes the replies.
+            Its ``send(message)`` receives the replies.
         """
         now = self.read_clock()
         due = now + min(message.deadline_ms, endpoint_state.MAX_DEADLINE_MS)
@@ -171,10 +180,10 @@
             self._admit(work, now)
 
     def run_command(self, message: messages.RunCommand, answer):
-        """Queue a claimed command; `answer` takes the one CommandReply.
+        """Queue a claimed command; `answer` is called with its CommandReply.
 
-        A copy of a message that was seen before is answered as unknown,
-        since the first copy may run.
+        A duplicate of an earlier message is answered with an unknown
+        outcome, since the first copy may have run.
         """
         now = self.read_clock()
         if message.request_id in self.recent_command_ids:
@@ -209,7 +218,7 @@
         self._admit(endpoint_state.Work(job, convert, due, now), now)
 
     def cancel(self, message: messages.CancelParts):
-        """End parts whose answer is no longer wanted."""
+        """Cancel parts whose result is no longer needed."""
         now = self.read_clock()
         for send in message.sends:
             key = (message.request_id, message.attempt, send)
@@ -218,7 +227,7 @@
                 self._cancel_work(work, now)
 
     def handle_load(self, load: messages.Load):
-        """Take in what an endpoint said of itself."""
+        """Apply the state and load that an endpoint announced."""
         owned = self.owned_by_id.get(load.endpoint_id)
         if owned is None or load.incarnation < owned.row.incarnation:
             return
@@ -228,7 +237,11 @@
         if load.state != owned.row.state and load.state == "draining":
             owned.row = owned.row._replace(state="draining")
             self.refuse_queue(owned, errors.ErrorKind.DRAINING)
-        if owned.handover_count_until_ms <= now < owned.inherited_until_ms:
+        if (
+            owned.handover_count_valid_until_ms
+            <= now
+            < owned.inherited_until_ms
+        ):
             inherited_running = load.in_use - len(owned.running)
             owned.inherited_running = max(
                 0, min(owned.row.slots, inherited_running)
@@ -238,9 +251,11 @@
             self._dispatch(owned, now)
 
     def tick(self):
-        """Run over all endpoints: dispatch, expire, probe, report losses.
+        """Dispatch, expire and probe work; check the health of endpoints.
 
-        It runs often while there is work, and rarely otherwise.
+        Runs every `TICK_S` while there is work, else every `FULL_PASS_S`.
+        Announcements, suspect endpoints and idle queues are checked every
+        `FULL_PASS_S` only.
         """
         now = self.read_clock()
         self.tick_scheduled = False
@@ -270,7 +285,7 @@
             self._schedule_tick()
 
     def count_work(self) -> int:
-        """Return how many jobs are queued or running."""
+        """Return the number of jobs queued or running."""
         queued = sum(o.queue.size for o in self.owned_by_id.values())
         running = sum(len(o.running) for o in self.owned_by_id.values())
         return queued + running + sum(len(o.running) for o in self.closing)
@@ -321,8 +336,8 @@
             owned.limit = limits.build_limit(endpoint.slots, True)
             owned.last_announced_ms = self.read_clock()
             for work in owned.running.values():
-                # Whether the old process or the new one has it, only the
-                # endpoint can tell.
+                # The request may run in the old process or in the new one;
+                # only a probe of the endpoint can tell, so send it now.
                 work.probe_ms = 0.0
         elif endpoint.slots != owned.row.slots:
             owned.limit = owned.limit._replace(slots=endpoint.slots)
@@ -414,7 +429,7 @@
         work.call.addErrback(_log_failure)
 
     def _finish(self, result, owned, work):
-        """Take the endpoint's answer and free the slot."""
+        """Handle the endpoint's result and free the slot."""
         now = self.read_clock()
         if owned.running.pop(work.run_id, None) is None:
             return
@@ -448,16 +463,16 @@
         if owned.successor is None:
             return
         endpoint_id = owned.row.endpoint_id
-        left = self._count_remaining(endpoint_id)
+        running = self._count_closing_runs(endpoint_id)
         owned.successor.link.send(
-            messages.SlotsLeft(endpoint_id, owned.successor.epoch, left)
+            messages.SlotsLeft(endpoint_id, owned.successor.epoch, running)
         )
 
     def _list_closing(self, endpoint_id):
         return [o for o in self.closing if o.row.endpoint_id == endpoint_id]
 
-    def _count_remaining(self, endpoint_id):
-        """Count the requests that still run at a former endpoint."""
+    def _count_closing_runs(self, endpoint_id):
+        """Return how many requests of this VM run at a released endpoint."""
         return sum(len(o.running) for o in self._list_closing(endpoint_id))
 
     def _record_result(self, owned, work, result, service_ms, now):
@@ -473,7 +488,7 @@
     def answer(
         self, owned, work, status, dispatched, retry_after, service_ms, value
     ):
-        """Answer work once; later answers are dropped."""
+        """Reply to the sender of work; only the first reply is sent."""
         if work.answered:
             return
         work.answered = True
@@ -501,7 +516,7 @@
         )
 
     def _refuse(self, work, kind, retry_after=0):
-        """Answer work that was never dispatched."""
+        """Answer work that was not dispatched, and remove it."""
         owned = self.owned_by_id.get(work.job.part.endpoint_id)
         self._remove_work(work)
         work.state = endpoint_state.ENDED
@@ -516,7 +531,7 @@
         )
 
     def refuse_queue(self, owned, kind):
-        """Refuse all that waits at an endpoint, as never dispatched."""
+        """Refuse all queued work of an endpoint, as not dispatched."""
         for customer, work in owned.queue.list_lowest():
             owned.queue.drop(customer)
             self._refuse(work, kind)
@@ -531,9 +546,10 @@
                 self._refuse(work, errors.ErrorKind.DEADLINE)
 
     def _get_min_remaining_ms(self, owned):
-        """Return the time left below which work is not started.
+        """Return the time to the deadline that work needs to be dispatched.
 
-        An idle endpoint tries any work, so that a bad estimate recovers.
+        It is 0 for an idle endpoint, which then gets new measurements of
+        its service time even if the current estimate is too high.
         """
         if not owned.running:
             return 0.0
@@ -544,8 +560,9 @@
             if now > work.due_ms and not work.cancelled_ms:
                 self._expire_running(owned, work, now)
             if now > work.probe_ms and not work.probing:
-                # The slot of a cancelled request stays taken until the
-                # endpoint says that it is free: one that hangs gets no more.
+                # The slot of a cancelled request stays occupied until the
+                # endpoint confirms that the request has ended, so that a
+                # hanging endpoint gets no more requests than its slots.
                 self.health.probe(owned, work)
 
     def _expire_running(self, owned, work, now):
@@ -611,4 +628,6 @@
 
 
 def _log_failure(failure):
-    LOGGER.error("owner failed: %s", failure.getTraceback())
+    LOGGER.error(
+        "could not process an endpoint's result: %s", failure.getTraceback()
+    )
--- a/chervilspindle/query/owner_test.py
+++ b/chervilspindle/query/owner_test.py
@@ -1,4 +1,4 @@
-"""Tests of owned endpoints: slots, leases, cancellation, takeover."""
+"""Tests of the owner: slots, leases, cancellation, handover."""
 
 import pytest
 from twisted.internet import defer
@@ -16,7 +16,7 @@
 
 
 class FakeSession:
-    """A session whose lease the test sets."""
+    """A session whose lease the test grants and revokes."""
 
     def __init__(self):
         self.vm = rows.Vm(SESSION, "entry-1", "z", "127.0.0.1:1", 1, "ready")
@@ -35,7 +35,7 @@
 
 
 class FakeClient:
-    """An endpoint that answers when the test says so."""
+    """Client of an endpoint whose answers the test triggers."""
 
     def __init__(self):
         self.call_by_run = {}
@@ -84,7 +84,7 @@
 
 
 class OwnerHarness:
-    """One owner with one endpoint of two slots."""
+    """An owner that serves one endpoint with two slots."""
 
     def __init__(self, epoch=1):
         self.clock = task.Clock()
@@ -157,7 +157,7 @@
 @pytest.fixture(name="harness")
 def build_harness():
     harness = OwnerHarness()
-    # Two answers in time open both slots of a cold endpoint.
+    # Two fast answers raise the limit of a new endpoint to both slots.
     harness.submit(100, 101)
     for _ in range(2):
         harness.clock.advance(0.01)
@@ -197,13 +197,13 @@
     assert harness.list_statuses()[2] == ("no_lease", False)
 
 
-def test_other_epoch_is_refused(harness):
+def test_part_of_another_epoch_is_refused(harness):
     harness.epoch = 7
     harness.submit(0)
     assert harness.list_statuses() == {0: ("not_owner", False)}
 
 
-def test_lost_ownership_refuses_what_is_queued(harness):
+def test_lost_ownership_refuses_queued_work(harness):
     harness.submit(0, 1, 2)
     harness.apply_rows(None, rows.Ownership("e", "entry-2@1", 2))
     assert harness.list_statuses() == {2: ("not_owner", False)}
@@ -220,7 +220,7 @@
     assert harness.list_statuses()[3] == ("no_endpoint", False)
 
 
-def test_new_owner_waits_for_the_work_of_the_old_one():
+def test_new_owner_waits_for_the_work_of_an_earlier_owner():
     harness = OwnerHarness(epoch=3)
     harness.submit(0)
     assert not harness.client.call_by_run
@@ -240,7 +240,7 @@
     assert len(harness.client.call_by_run) == 2
 
 
-def test_silent_connection_is_found_and_its_slot_freed(harness):
+def test_silent_connection_is_detected_and_its_slot_freed(harness):
     harness.submit(0)
     harness.client.state = "unknown"
     harness.pass_time(0.5)
@@ -248,7 +248,9 @@
     assert not harness.client.call_by_run
 
 
-def test_restarted_endpoint_keeps_the_slots_it_says_are_taken(harness):
+def test_restarted_endpoint_keeps_slots_of_requests_it_reports_running(
+    harness,
+):
     harness.submit(0, 1)
     harness.apply_rows(harness.row._replace(incarnation=2, sequence=1))
     harness.pass_time(0.1)
@@ -260,13 +262,13 @@
     assert harness.list_statuses()[0][1] is True
 
 
-def test_silent_announcements_make_an_endpoint_lost(harness):
+def test_endpoint_without_announcements_is_reported_lost(harness):
     for _ in range(400):
         harness.clock.advance(0.01)
     assert harness.session.reports[0].state == "lost"
 
 
-def test_doubled_command_message_is_not_run_again(harness):
+def test_duplicate_command_message_is_not_run_again(harness):
     message = messages.RunCommand(
         "r", "c", 0.5, 0, 1000.0, "e", 1, "key", b"{}"
     )
@@ -280,7 +282,9 @@
     assert replies[1].status == "ok"
 
 
-def test_hopeless_work_is_refused_at_once_with_a_time_to_come_back(harness):
+def test_work_that_would_miss_its_deadline_is_refused_with_retry_after(
+    harness,
+):
     harness.submit(*range(200), deadline_ms=100.0)
     harness.clock.advance(0)
     refused = [p for p in harness.target.parts if p.status == "overloaded"]
@@ -290,7 +294,7 @@
 
 
 class Link:
-    """Takes what the owner before tells the new one."""
+    """Collects the messages of the previous owner to the new one."""
 
     def __init__(self):
         self.messages = []
@@ -303,7 +307,7 @@
     harness.apply_rows(ownership=rows.Ownership("e", session, epoch, previous))
 
 
-def test_owner_before_serves_until_it_is_asked(harness):
+def test_previous_owner_serves_until_handover_is_requested(harness):
     move_ownership(harness, "entry-2@1", SESSION, 2)
     harness.submit(1, 2, 3)
     assert len(harness.client.call_by_run) == 2
@@ -316,35 +320,35 @@
     harness.submit(4)
     harness.pass_time(0.1)
     assert len(harness.client.call_by_run) == 2
-    for left in (1, 0):
+    for running in (1, 0):
         harness.client.answer(next(iter(harness.client.call_by_run)))
-        assert link.messages[-1] == messages.SlotsLeft("e", 2, left)
+        assert link.messages[-1] == messages.SlotsLeft("e", 2, running)
 
 
-def test_handed_over_grant_is_not_used_again(harness):
+def test_grant_is_not_used_after_its_handover(harness):
     call = messages.HandOverCall("e", 2, SESSION)
     assert harness.owner.handover_manager.hand_over(call, Link()).granted
-    # The row of the new grant has not come yet, an older one comes late.
+    # A late row of the old grant arrives before the row of the new one.
     harness.apply_rows(ownership=rows.Ownership("e", SESSION, 1))
     assert not harness.owner.owned_by_id
     harness.apply_rows(ownership=rows.Ownership("e", SESSION, 3))
     assert harness.owner.owned_by_id["e"].epoch == 3
 
 
-def test_late_call_does_not_take_a_later_grant(harness):
+def test_late_call_does_not_release_a_later_grant(harness):
     harness.apply_rows(ownership=rows.Ownership("e", SESSION, 3))
     call = messages.HandOverCall("e", 2, SESSION)
     harness.owner.handover_manager.hand_over(call, Link())
     assert harness.owner.owned_by_id["e"].epoch == 3
 
 
-def test_call_for_another_process_is_answered_no(harness):
+def test_call_for_another_process_is_refused(harness):
     call = messages.HandOverCall("e", 2, "entry-1@0")
     assert not harness.owner.handover_manager.hand_over(call, Link()).granted
     assert harness.owner.owned_by_id
 
 
-def test_new_owner_asks_and_fills_only_free_slots():
+def test_new_owner_requests_handover_and_fills_only_free_slots():
     harness = OwnerHarness(epoch=1)
     other = harness.session.vm._replace(session="entry-2@1", vm_id="entry-2")
     harness.directory.vm_by_session["entry-2@1"] = other
@@ -358,14 +362,14 @@
     harness.submit(1, 2)
     assert len(harness.client.call_by_run) == 1
     assert harness.session.handovers == [("e", 3)]
-    # A report that lags says less than the owner before.
+    # An outdated announcement does not override the previous owner.
     harness.owner.handle_load(messages.Load("e", 1, 2, "ready", 1))
     assert len(harness.client.call_by_run) == 1
     harness.owner.handle_slots_left(messages.SlotsLeft("e", 3, 0))
     assert len(harness.client.call_by_run) == 2
 
 
-def test_new_owner_asks_again_until_it_is_answered():
+def test_new_owner_repeats_its_request_until_it_is_granted():
     harness = OwnerHarness(epoch=1)
     other = harness.session.vm._replace(session="entry-2@1", vm_id="entry-2")
     harness.directory.vm_by_session["entry-2@1"] = other
@@ -375,7 +379,7 @@
     harness.reply.callback(messages.HandOverReply(False, 0))
     harness.pass_time(1.0)
     assert len(harness.calls) == 2
-    # Control says that the owner before has ended.
+    # Control reports that the session of the previous owner has ended.
     harness.apply_rows(ownership=rows.Ownership("e", SESSION, 3))
     assert harness.owner.owned_by_id["e"].inherited_running == 2
 
@@ -398,11 +402,12 @@
     assert [p.status for p in harness.target.parts] == [status]
 
 
-def test_owner_that_hears_of_its_grant_and_the_move_at_once_serves():
+def test_owner_serves_when_its_grant_and_its_handover_arrive_together():
     harness = OwnerHarness(epoch=1)
     harness.apply_rows(ownership=rows.Ownership("e", "entry-3@1", 2))
     assert not harness.owner.owned_by_id
-    # Epoch 3 was granted here and moved on before this VM heard of it.
+    # Control granted epoch 3 to this VM and planned the next move before
+    # this VM received either row.
     move_ownership(harness, "entry-2@1", SESSION, 4)
     assert harness.owner.owned_by_id["e"].epoch == 3
     call = messages.HandOverCall("e", 4, SESSION)
--- a/chervilspindle/query/query_state.py
+++ b/chervilspindle/query/query_state.py
@@ -1,14 +1,14 @@
-"""Rows of the queries that an entry is gathering."""
+"""State of the queries that an entry is running."""
 
 import typing
 
 from chervilspindle.query import coverage
 
-REPLY_GRACE_MS = 15.0  # kept for the way of the answer to the caller
+REPLY_GRACE_MS = 15.0  # reserved for sending the answer to the caller
 
 
 class QueryRequest(typing.NamedTuple):
-    """An admitted caller's query."""
+    """A query that was admitted."""
 
     request_id: str
     customer: str
@@ -22,7 +22,7 @@
 
 
 class Answer(typing.NamedTuple):
-    """A whole answer; `missing` tells what it does not cover."""
+    """Results of a query; `missing` lists the key ranges without a result."""
 
     request_id: str
     snapshot: int
@@ -31,7 +31,7 @@
 
 
 class Send(typing.NamedTuple):
-    """One part that was sent and has no reply yet."""
+    """A part that was sent and is not yet answered."""
 
     endpoint_id: str
     epoch: int
@@ -40,7 +40,11 @@
 
 
 class ShardState:
-    """One shard of a running query; `outstanding` maps numbers to sends."""
+    """One shard of a running query.
+
+    `outstanding` maps the number of a send within its attempt to a `Send`;
+    `tried` lists the endpoint of each send, also of repeated ones.
+    """
 
     __slots__ = (
         "plan",
@@ -52,7 +56,7 @@
         "reason",
         "may_have_run",
         "retry_after_ms",
-        "sent_ms",
+        "first_sent_ms",
     )
 
     def __init__(self, plan: coverage.Shard, index: int):
@@ -65,11 +69,16 @@
         self.reason = ""
         self.may_have_run = False
         self.retry_after_ms = 0
-        self.sent_ms = 0.0
+        self.first_sent_ms = 0.0
 
 
 class RunningQuery:
-    """One query between its admission and its answer."""
+    """A query that is admitted and not yet answered.
+
+    `excluded` holds snapshots that endpoints no longer had;
+    `earlier_attempt_ran` tells that a part of an earlier attempt may have
+    run; `shard_by_send` maps the number of a send to its shard.
+    """
 
     __slots__ = (
         "request",
--- a/chervilspindle/query/requests.py
+++ b/chervilspindle/query/requests.py
@@ -1,4 +1,4 @@
-"""Typed requests of callers, decoded and checked against the plan."""
+"""Decoding of requests, and checks against the plan of the customer."""
 
 import typing
 
@@ -36,7 +36,7 @@
 
 
 class Grant(typing.NamedTuple):
-    """A customer and its plan at one revision of the lists."""
+    """An authenticated customer and its plan, at one revision of the lists."""
 
     customer: str
     plan: rows.Plan
@@ -44,7 +44,7 @@
 
 
 def authenticate(header: str | None, lists: rows.Lists) -> Grant:
-    """Find the customer of an Authorization header.
+    """Return the customer that an Authorization header identifies.
 
     Raises
     ------
@@ -56,7 +56,7 @@
     if customer is None:
         raise errors.build_error(
             errors.ErrorKind.UNAUTHENTICATED,
-            "the bearer token is not known",
+            "unknown bearer token",
             source="header Authorization",
         )
     plan = lists.plans_by_name[customer.plan]
@@ -64,18 +64,18 @@
 
 
 def read_bearer(header: str | None) -> str:
-    """Return the token of an Authorization header, '' if there is none."""
+    """Return the bearer token of an Authorization header, '' if none."""
     scheme, _, token = (header or "").partition(" ")
     return token.strip() if scheme.lower() == "bearer" else ""
 
 
 def decode_body(data: bytes, kind):
-    """Decode a body.
+    """Decode a JSON body to a type.
 
     Raises
     ------
     ProblemError
-        MALFORMED, with the place of the mistake.
+        MALFORMED, with the location of the error.
     """
     try:
         return msgspec.json.decode(data, type=kind)
@@ -83,19 +83,21 @@
         detail, _, place = str(error).partition(" - at ")
         raise _build_malformed(detail, place.strip("`") or "$") from error
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise _build_malformed(f"body is not JSON: {error}", "$") from error
+        raise _build_malformed(
+            f"body is not valid JSON: {error}", "$"
+        ) from error
 
 
 def check_deadline(deadline_ms: int):
-    """Refuse a deadline out of range."""
+    """Raise MALFORMED for a deadline out of range."""
     if not 0 < deadline_ms <= MAX_DEADLINE_MS:
         raise _build_malformed(
-            f"must be in 1..{MAX_DEADLINE_MS}", "$.deadline_ms"
+            f"must be between 1 and {MAX_DEADLINE_MS}", "$.deadline_ms"
         )
 
 
 def check_priority(priority: str, plan: rows.Plan) -> int:
-    """Return the rank of a priority, the plan's least urgent if none."""
+    """Return the rank of a priority, by default the lowest of the plan."""
     if not priority:
         return len(plan.priorities) - 1
     if priority not in plan.priorities:
@@ -108,16 +110,18 @@
 
 
 def match_plan_services(patterns, plan: rows.Plan, known):
-    """Return the services that the patterns name and the plan allows.
+    """Return the services that match a pattern and that the plan allows.
 
     Raises
     ------
     ProblemError
-        FORBIDDEN for a pattern outside of the plan, UNKNOWN_SERVICE for
-        one that names no service.
+        FORBIDDEN for a pattern whose services are all outside the plan,
+        UNKNOWN_SERVICE for one that matches no service.
     """
     if not patterns or len(patterns) > MAX_PATTERNS:
-        raise _build_malformed("names no or too many services", "$.services")
+        raise _build_malformed(
+            f"must have 1 to {MAX_PATTERNS} patterns", "$.services"
+        )
     allowed = set(lists_module.match_services(plan.services, known))
     chosen = set()
     for index, pattern in enumerate(patterns):
--- a/chervilspindle/query/session.py
+++ b/chervilspindle/query/session.py
@@ -1,9 +1,8 @@
 """An entry's session with control: lease, heartbeats and leader calls.
 
-The lease runs from the moment at which the heartbeat was sent, on this
-VM's own clock. Without a lease the entry admits nothing and dispatches
-nothing: it could not know whether its lists are still in force or whether
-its endpoints have another owner.
+The lease starts when the heartbeat was sent, on the clock of this VM.
+Without a lease the entry admits nothing and dispatches nothing: its lists
+may be outdated and its endpoints may have another owner.
 """
 
 import logging
@@ -46,12 +45,13 @@
 
     @defer.inlineCallbacks
     def call(self, message, timeout_s: float):
-        """Call the leader, looking for it until the time is out.
+        """Call the leader; try other control VMs until the timeout.
 
         Raises
         ------
         ProblemError
-            NO_LEADER, not run unless an attempt's reply was lost.
+            NO_LEADER; marked as not run unless the reply to an attempt was
+            lost.
         """
         due = self.timers.clock.seconds() + timeout_s
         may_have_run = False
@@ -93,7 +93,7 @@
 
 
 class Session:
-    """Keeps the lease of one entry process.
+    """Renews the lease of one entry process by heartbeats.
 
     Parameters
     ----------
@@ -125,15 +125,15 @@
         self._schedule_tick()
 
     def is_valid(self) -> bool:
-        """Tell whether the lease holds now."""
+        """Tell whether the lease is valid now."""
         return self.read_clock() < self.lease_until_ms
 
     def get_lease_ms(self) -> float:
-        """Return what is left of the lease, in ms."""
+        """Return the remaining time of the lease, in ms."""
         return max(0.0, self.lease_until_ms - self.read_clock())
 
     def report(self, endpoint: rows.Endpoint):
-        """Report a changed endpoint with the next heartbeat, which is soon."""
+        """Report a changed endpoint in an early heartbeat."""
         pending = self.reports_by_id.get(endpoint.endpoint_id)
         if pending is not None and not rows.is_newer(endpoint, pending):
             return
@@ -142,12 +142,12 @@
             self.expedite_heartbeat()
 
     def report_handover(self, endpoint_id: str, epoch: int):
-        """Report that an endpoint was taken over from its owner before."""
+        """Report that an endpoint was taken over from its previous owner."""
         self.handover_epoch_by_id[endpoint_id] = epoch
         self.expedite_heartbeat()
 
     def expedite_heartbeat(self):
-        """Send the next heartbeat soon."""
+        """Send the next heartbeat now, `EAGER_HEARTBEAT_MS` after the last."""
         self.due_ms = min(self.due_ms, self.last_sent_ms + EAGER_HEARTBEAT_MS)
         self._schedule_tick()
 
@@ -158,13 +158,15 @@
 
     @defer.inlineCallbacks
     def leave(self):
-        """End the session; nothing may be admitted or dispatched any more."""
+        """End the session: nothing is admitted or dispatched afterwards."""
         self.stopped = True
         self.lease_until_ms = 0.0
         try:
             yield self.control.call(messages.Leave(self.vm.session), 2.0)
         except errors.ProblemError:
-            LOGGER.warning("left without telling control")
+            LOGGER.warning(
+                "could not notify control that this session has ended"
+            )
 
     def _schedule_tick(self):
         delay_ms = max(0.0, self.due_ms - self.read_clock())
@@ -206,8 +208,8 @@
         previous_revision = self.directory.lists.revision
         delta = messages.decode_delta(reply.delta)
         if not self.directory.apply_delta(delta):
-            # Control that knows less than it said before has lost accepted
-            # changes; going on with it would revert them.
+            # Control has lost accepted changes; continuing with its tables
+            # would revert them here.
             LOGGER.error("control is older than what it said before")
             return True
         if reply.lease_ms and not self.stopped:
@@ -218,7 +220,7 @@
         elif not self.stopped:
             self.expedite_heartbeat()
         if self.directory.lists.revision != previous_revision:
-            # Operators see soon that the lists are in force here.
+            # Lets operators see soon that the lists are applied here.
             self.expedite_heartbeat()
         return True
 
@@ -244,5 +246,5 @@
 
 
 def _log_failure(failure):
-    LOGGER.error("heartbeat failed: %s", failure.getTraceback())
+    LOGGER.error("could not process a heartbeat: %s", failure.getTraceback())
     return False
