--- a/chervilspindle/query/coverage.py
+++ b/chervilspindle/query/coverage.py
@@ -126,32 +126,34 @@
     shards = []
     missing = []
     for service in sorted(endpoints_by_service):
-        holders_by_range = _list_holders(
+        replica_ids_by_range = _map_replicas_by_range(
             snapshot, endpoints_by_service[service], is_usable
         )
-        for low, high, is_announced in tile_ranges(holders_by_range):
+        for low, high, is_announced in tile_ranges(replica_ids_by_range):
             if key_slot is not None and not low <= key_slot < high:
                 continue
-            holders = (
-                holders_by_range.get((low, high), ()) if is_announced else ()
+            replica_ids = (
+                replica_ids_by_range.get((low, high), ())
+                if is_announced
+                else ()
             )
-            if holders:
-                shards.append(Shard(service, low, high, tuple(holders)))
+            if replica_ids:
+                shards.append(Shard(service, low, high, tuple(replica_ids)))
             else:
                 reason = errors.ErrorKind.NO_ENDPOINT.value
                 missing.append(MissingRange(service, low, high, reason))
     return SnapshotPlan(snapshot, tuple(shards), tuple(missing))
 
 
-def _list_holders(snapshot, endpoints, is_usable):
+def _map_replicas_by_range(snapshot, endpoints, is_usable):
     """Map each range of a snapshot to the usable endpoints that serve it."""
-    holders_by_range = {}
+    replica_ids_by_range = {}
     for endpoint in endpoints:
         for holding in endpoint.holdings:
             if holding.snapshot != snapshot:
                 continue
             key = (holding.low, holding.high)
-            holders = holders_by_range.setdefault(key, [])
+            replica_ids = replica_ids_by_range.setdefault(key, [])
             if is_usable(endpoint):
-                holders.append(endpoint.endpoint_id)
-    return holders_by_range
+                replica_ids.append(endpoint.endpoint_id)
+    return replica_ids_by_range
--- a/chervilspindle/query/endpoint_state.py
+++ b/chervilspindle/query/endpoint_state.py
@@ -36,11 +36,21 @@
 
     `answered` tells that a reply was sent or is no longer needed; the slot
     stays occupied until the endpoint is known to have ended the job.
+
+    Parameters
+    ----------
+    job : Job
+    on_reply : callable
+        ``on_reply(job, reply)`` is called at most once.
+    due_ms : float
+        Deadline on the owner's clock.
+    now : float
+        Time of admission, on the same clock.
     """
 
     __slots__ = (
         "job",
-        "answer",
+        "on_reply",
         "due_ms",
         "queued_ms",
         "started_ms",
@@ -53,9 +63,9 @@
         "cancelled_ms",
     )
 
-    def __init__(self, job: Job, answer, due_ms: float, now: float):
+    def __init__(self, job: Job, on_reply, due_ms: float, now: float):
         self.job = job
-        self.answer = answer
+        self.on_reply = on_reply
         self.due_ms = due_ms
         self.queued_ms = now
         self.started_ms = 0.0
--- a/chervilspindle/query/entry.py
+++ b/chervilspindle/query/entry.py
@@ -323,10 +323,13 @@
         rate = grant.plan.rate
         if not rate:
             return
-        vms = self.directory.ready_vm_count
+        vm_count = self.directory.ready_vm_count
         buckets = rates.forget_oldest(self.bucket_by_customer)
         verdict = rates.take(
-            buckets.get(grant.customer), rate, max(1, vms), self.read_clock()
+            buckets.get(grant.customer),
+            rate,
+            max(1, vm_count),
+            self.read_clock(),
         )
         buckets[grant.customer] = verdict.bucket
         self.bucket_by_customer = buckets
--- a/chervilspindle/query/gather.py
+++ b/chervilspindle/query/gather.py
@@ -81,7 +81,7 @@
         )
         self.query_by_id = {}
         self.stats_by_endpoint = {}
-        self.lateness = hedging.Lateness(typical_ms_by_service={})
+        self.latency_stats = hedging.Lateness(typical_ms_by_service={})
         self.parts_by_customer = {}
         self.weight_by_customer = {}
         self.parts_in_flight = 0
@@ -281,7 +281,7 @@
     def _schedule_hedge(self, query, shard, now, kind="hedge"):
         if not self.hedging_enabled or len(shard.plan.endpoint_ids) < 2:
             return
-        delay = hedging.get_delay_ms(self.lateness, shard.plan.service)
+        delay = hedging.get_delay_ms(self.latency_stats, shard.plan.service)
         if now + delay < query.due_ms:
             item = (query.attempt, shard.index)
             self._schedule(now + delay, kind, query, item)
@@ -336,7 +336,7 @@
         self._send_parts(query, [(shard, endpoint_id)], reason)
 
     def _is_straggler(self, query, shard):
-        delay = hedging.get_delay_ms(self.lateness, shard.plan.service)
+        delay = hedging.get_delay_ms(self.latency_stats, shard.plan.service)
         delay_ratio = (self.read_clock() - shard.first_sent_ms) / delay
         return hedging.is_straggler(
             len(query.shards), query.unsettled_count, delay_ratio
@@ -425,8 +425,8 @@
         shard.value = reply.value
         shard.settled = True
         query.unsettled_count -= 1
-        self.lateness = hedging.note_latency(
-            self.lateness,
+        self.latency_stats = hedging.note_latency(
+            self.latency_stats,
             shard.plan.service,
             now - shard.first_sent_ms,
             self.hedge_budget.share,
--- a/chervilspindle/query/health.py
+++ b/chervilspindle/query/health.py
@@ -144,7 +144,7 @@
         deferred.addErrback(_log_failure)
 
     def check_announcements(self, owned, now):
-        """Report an endpoint that stopped announcing itself as lost."""
+        """Report an endpoint as lost if it stopped announcing itself."""
         if self.owner.directory.sole_owner:
             # Without ownership every entry counts as owner of all endpoints,
             # but each announcement reaches only one entry.
--- a/chervilspindle/query/owner.py
+++ b/chervilspindle/query/owner.py
@@ -500,7 +500,7 @@
                 * owned.limit.service_ms
                 / limits.get_limit(owned.limit)
             )
-        work.answer(
+        work.on_reply(
             work.job,
             messages.PartReply(
                 work.job.part.send,
--- a/chervilspindle/query/requests.py
+++ b/chervilspindle/query/requests.py
@@ -80,8 +80,8 @@
     try:
         return msgspec.json.decode(data, type=kind)
     except msgspec.ValidationError as error:
-        detail, _, place = str(error).partition(" - at ")
-        raise _build_malformed(detail, place.strip("`") or "$") from error
+        detail, _, location = str(error).partition(" - at ")
+        raise _build_malformed(detail, location.strip("`") or "$") from error
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise _build_malformed(
             f"body is not valid JSON: {error}", "$"
@@ -109,7 +109,7 @@
     return plan.priorities.index(priority)
 
 
-def match_plan_services(patterns, plan: rows.Plan, known):
+def match_plan_services(patterns, plan: rows.Plan, known_services):
     """Return the services that match a pattern and that the plan allows.
 
     Raises
@@ -122,26 +122,28 @@
         raise _build_malformed(
             f"must have 1 to {MAX_PATTERNS} patterns", "$.services"
         )
-    allowed = set(lists_module.match_services(plan.services, known))
+    allowed = set(lists_module.match_services(plan.services, known_services))
     chosen = set()
     for index, pattern in enumerate(patterns):
-        matched = set(lists_module.match_services((pattern,), known))
-        place = f"$.services[{index}]"
+        matched = set(lists_module.match_services((pattern,), known_services))
+        location = f"$.services[{index}]"
         if not matched:
             raise errors.build_error(
                 errors.ErrorKind.UNKNOWN_SERVICE,
                 f"no service matches {pattern!r}",
-                source=place,
+                source=location,
             )
         if not matched & allowed:
             raise errors.build_error(
                 errors.ErrorKind.FORBIDDEN,
                 f"{pattern!r} is not in plan {plan.name!r}",
-                source=place,
+                source=location,
             )
         chosen |= matched & allowed
     return tuple(sorted(chosen))
 
 
-def _build_malformed(detail, place):
-    return errors.build_error(errors.ErrorKind.MALFORMED, detail, source=place)
+def _build_malformed(detail, location):
+    return errors.build_error(
+        errors.ErrorKind.MALFORMED, detail, source=location
+    )
--- a/chervilspindle/query/session.py
+++ b/chervilspindle/query/session.py
@@ -114,7 +114,7 @@
         self.lease_until_ms = 0.0
         self.reports_by_id = {}
         self.handover_epoch_by_id = {}
-        self.due_ms = 0.0
+        self.next_heartbeat_ms = 0.0
         self.last_sent_ms = 0.0
         self.heartbeat_in_flight = False
         self.stopped = False
@@ -148,7 +148,9 @@
 
     def expedite_heartbeat(self):
         """Send the next heartbeat now, `EAGER_HEARTBEAT_MS` after the last."""
-        self.due_ms = min(self.due_ms, self.last_sent_ms + EAGER_HEARTBEAT_MS)
+        self.next_heartbeat_ms = min(
+            self.next_heartbeat_ms, self.last_sent_ms + EAGER_HEARTBEAT_MS
+        )
         self._schedule_tick()
 
     def set_state(self, state: str):
@@ -169,16 +171,20 @@
             )
 
     def _schedule_tick(self):
-        delay_ms = max(0.0, self.due_ms - self.read_clock())
+        delay_ms = max(0.0, self.next_heartbeat_ms - self.read_clock())
         self.timers.hurry("session", delay_ms / 1000.0)
 
     def _tick(self):
         now = self.read_clock()
-        if self.heartbeat_in_flight or self.stopped or now < self.due_ms:
+        if (
+            self.heartbeat_in_flight
+            or self.stopped
+            or now < self.next_heartbeat_ms
+        ):
             return
         self.heartbeat_in_flight = True
         self.last_sent_ms = now
-        self.due_ms = now + HEARTBEAT_MS
+        self.next_heartbeat_ms = now + HEARTBEAT_MS
         reports, self.reports_by_id = self.reports_by_id, {}
         heartbeat = messages.Heartbeat(
             self.vm,
