--- a/chervilspindle/query/commands.py
+++ b/chervilspindle/query/commands.py
@@ -1,9 +1,10 @@
-"""Runs non-idempotent requests at most once.
+"""Runs non-idempotent commands at most once.
 
-The claim of (customer, idempotency key) is committed in control before the
-first dispatch, bound to a digest of the request and to one attempt. Only the
-owner's word that it never dispatched frees a claim. Without a known outcome
-the caller is told so, and no entry runs the request again.
+A claim on (customer, idempotency key) is committed in control before the
+first dispatch, together with a digest of the request and the id of the
+attempt. A claim is freed only if it is certain that the command was not
+dispatched. If the outcome is unknown, the caller gets an error that says so,
+and no entry runs the command again.
 """
 
 import hashlib
@@ -20,13 +21,13 @@
 
 CLAIM_TIMEOUT_S = 2.0
 RESOLVE_TIMEOUT_S = 60.0
-LATE_REPLY_S = 5.0
+LATE_REPLY_GRACE_S = 5.0
 IN_PROGRESS_MS = 35000
 MAX_SENDS = 4
 
 
 class CommandRequest(typing.NamedTuple):
-    """An admitted caller's command."""
+    """A command that was admitted."""
 
     request_id: str
     customer: str
@@ -40,13 +41,13 @@
 
 
 class CommandRunner:
-    """All commands that this entry handles.
+    """Runs the commands that this entry has admitted.
 
     Parameters
     ----------
     directory : Directory
     choose_endpoint : callable
-        Returns one usable endpoint of several, or None.
+        Returns one usable endpoint of those given, or None.
     control : ControlClient
     call_owner : callable
         ``call_owner(vm, message, timeout_s)`` returns a Deferred.
@@ -69,11 +70,11 @@
         self.call_owner = call_owner
         self.timers = timers
         self.explainer = explainer
-        self.background = 0
+        self.background_calls = 0
 
     @defer.inlineCallbacks
     def run(self, request: CommandRequest):
-        """Run a command, or give the recorded outcome of an earlier run.
+        """Run a command, or return the recorded outcome of an earlier attempt.
 
         Returns
         -------
@@ -81,22 +82,22 @@
             JSON of the value. Fails with `ProblemError`.
         """
         due = self.timers.clock.seconds() + request.deadline_ms / 1000.0
-        endpoint_id = self._choose(request)
+        endpoint_id = self._choose_endpoint(request)
         claim = build_claim(request)
-        granted = yield self._claim(request, claim)
-        if not granted.granted and granted.claim.attempt != claim.attempt:
-            return self._repeat(request, claim, granted.claim)
-        if granted.claim.outcome != "claimed":
-            return self._repeat(request, claim, granted.claim)
+        claimed = yield self._claim(request, claim)
+        if not claimed.granted and claimed.claim.attempt != claim.attempt:
+            return self._replay_outcome(request, claim, claimed.claim)
+        if claimed.claim.outcome != "claimed":
+            return self._replay_outcome(request, claim, claimed.claim)
         reply = yield self._send(request, endpoint_id, due)
-        return (yield self._conclude(request, reply))
+        return (yield self._return_outcome(request, reply))
 
     @defer.inlineCallbacks
     def _send(self, request, endpoint_id, due):
-        """Send a claimed command to an owner, or to another one after it.
+        """Send a claimed command to an owner, with retries at other owners.
 
-        It is sent on only if the owner says that it never dispatched it, or
-        if nothing was sent since the owner can't be reached.
+        It is retried only if the owner replies that it did not dispatch it,
+        or if it was not sent because the owner can't be reached.
         """
         tried = []
         while True:
@@ -111,18 +112,20 @@
             reply = yield self._dispatch(
                 request, endpoint_id, route, remaining_s
             )
-            if reply.dispatched or reply.status not in _ELSEWHERE:
+            if reply.dispatched or reply.status not in _RETRY_ELSEWHERE:
                 return reply
             if len(tried) >= MAX_SENDS:
                 return reply
-            if self.directory.reroute(endpoint_id, route.epoch):
+            if self.directory.invalidate_route(endpoint_id, route.epoch):
                 continue
-            left = [i for i in self._list_replicas(request) if i not in tried]
-            endpoint_id = self.choose_endpoint(left)
+            untried = [
+                i for i in self._list_replicas(request) if i not in tried
+            ]
+            endpoint_id = self.choose_endpoint(untried)
             if endpoint_id is None:
                 return reply
 
-    def _choose(self, request):
+    def _choose_endpoint(self, request):
         endpoint_id = self.choose_endpoint(self._list_replicas(request))
         if endpoint_id is None:
             raise self._build_not_run(request, errors.ErrorKind.NO_ENDPOINT)
@@ -140,48 +143,49 @@
                 messages.ClaimCall(claim), CLAIM_TIMEOUT_S
             )
         except errors.ProblemError as error:
-            # Nothing was dispatched; a claim that may stand is freed.
+            # Nothing was dispatched. Control may have committed the claim
+            # all the same, so free it.
             self._resolve(request, "free", b"")
             raise self._build_not_run(
                 request, errors.ErrorKind.NO_LEADER
             ) from error
         return reply
 
-    def _repeat(self, request, claim, known: rows.Claim):
-        """Answer a resend from what the first attempt left."""
-        self.explainer.note(
+    def _replay_outcome(self, request, claim, earlier: rows.Claim):
+        """Answer a repeated request with the outcome of the first attempt."""
+        self.explainer.record(
             request.request_id,
             "claim-refused",
             customer=request.customer,
             claim=claim.claim_id,
-            first_attempt=known.attempt,
-            outcome=known.outcome,
+            first_attempt=earlier.attempt,
+            outcome=earlier.outcome,
         )
-        if known.digest != claim.digest:
+        if earlier.digest != claim.digest:
             raise errors.build_error(
                 errors.ErrorKind.KEY_REUSED,
-                "the idempotency key belongs to another request",
+                "the idempotency key was already used for a different request",
                 request_id=request.request_id,
                 source="header Idempotency-Key",
             )
-        if known.outcome == "done":
-            return known.value
-        if known.outcome == "failed":
-            raise self._build_failed(request, known.value.decode())
-        age = logs.read_wall_ms() - known.created_ms
+        if earlier.outcome == "done":
+            return earlier.value
+        if earlier.outcome == "failed":
+            raise self._build_failed(request, earlier.value.decode())
+        age = logs.read_wall_ms() - earlier.created_ms
         kind = errors.ErrorKind.OUTCOME_UNKNOWN
         if age < IN_PROGRESS_MS:
             kind = errors.ErrorKind.IN_PROGRESS
         raise errors.build_error(
             kind,
-            "an earlier attempt has no recorded outcome",
+            "the outcome of an earlier attempt with this key is not recorded",
             not_run=False,
             request_id=request.request_id,
         )
 
     def _dispatch(self, request, endpoint_id, route, remaining_s):
         vm, epoch = route
-        self.explainer.note(
+        self.explainer.record(
             request.request_id,
             "command-route",
             customer=request.customer,
@@ -200,33 +204,36 @@
             request.key,
             msgspec.json.encode(request.command),
         )
-        outer = defer.Deferred()
-        # The reply is awaited longer than the caller is, to be recorded.
-        inner = self.call_owner(vm, message, remaining_s + LATE_REPLY_S)
+        caller_reply = defer.Deferred()
+        # Wait for the reply past the deadline of the caller, to record the
+        # outcome for repeated requests.
+        owner_reply = self.call_owner(
+            vm, message, remaining_s + LATE_REPLY_GRACE_S
+        )
         timeout = self.timers.call_later(
-            remaining_s, self._give_up, request, outer
+            remaining_s, self._time_out, request, caller_reply
         )
-        self.background += 1
-        inner.addBoth(self._replied, request, outer, timeout)
-        return outer
+        self.background_calls += 1
+        owner_reply.addBoth(self._handle_reply, request, caller_reply, timeout)
+        return caller_reply
 
-    def _give_up(self, request, outer):
+    def _time_out(self, request, caller_reply):
         kind = errors.ErrorKind.OUTCOME_UNKNOWN.value
-        outer.callback(
+        caller_reply.callback(
             messages.CommandReply(kind, True, 0, messages.EMPTY_VALUE)
         )
 
-    def _replied(self, result, request, outer, timeout):
-        self.background -= 1
+    def _handle_reply(self, result, request, caller_reply, timeout):
+        self.background_calls -= 1
         if not isinstance(result, messages.CommandReply):
-            result = self._read_call_failure(result)
+            result = self._convert_call_failure(result)
         if timeout.active():
             timeout.cancel()
-            outer.callback(result)
+            caller_reply.callback(result)
             return
         self._record(request, result)
 
-    def _read_call_failure(self, failure):
+    def _convert_call_failure(self, failure):
         not_run = False
         if failure.check(errors.ProblemError):
             not_run = failure.value.problem.not_run
@@ -238,8 +245,8 @@
         )
 
     @defer.inlineCallbacks
-    def _conclude(self, request, reply):
-        self.explainer.note(
+    def _return_outcome(self, request, reply):
+        self.explainer.record(
             request.request_id,
             "command-outcome",
             customer=request.customer,
@@ -260,13 +267,13 @@
             raise self._build_failed(request, reply.value.decode())
         raise errors.build_error(
             errors.ErrorKind.OUTCOME_UNKNOWN,
-            "the request was sent and its outcome is not known",
+            "the request was sent, but its outcome is unknown",
             not_run=False,
             request_id=request.request_id,
         )
 
     def _record(self, request, reply):
-        """Record what is known of an attempt; unknown stays claimed."""
+        """Record the outcome of an attempt; if unknown, leave it claimed."""
         if reply.status == "ok":
             return self._resolve(request, "done", reply.value)
         if not reply.dispatched:
@@ -276,23 +283,24 @@
         return defer.succeed(None)
 
     def _resolve(self, request, outcome, value):
-        """Record an outcome; goes on in the background if control is away.
+        """Record an outcome; retries go on if control can't be reached.
 
         Returns
         -------
         Deferred
-            Fires after the record is committed, or after the claim's usual
-            time; it never fails.
+            Fires once the record is committed, at the latest after
+            `CLAIM_TIMEOUT_S`; it never fails. Calls to control continue in
+            the background for up to `RESOLVE_TIMEOUT_S`.
         """
         message = messages.ResolveCall(
             build_claim_id(request), request.request_id, outcome, value
         )
         done = defer.Deferred()
         timeout = self.timers.call_later(CLAIM_TIMEOUT_S, done.callback, None)
-        self.background += 1
+        self.background_calls += 1
 
         def finish(result):
-            self.background -= 1
+            self.background_calls -= 1
             if timeout.active():
                 timeout.cancel()
                 done.callback(None)
@@ -312,13 +320,13 @@
     def _build_failed(self, request, detail):
         return errors.build_error(
             errors.ErrorKind.ENDPOINT_FAILED,
-            f"the endpoint ran the request and failed: {detail}",
+            f"the endpoint ran the request, which failed: {detail}",
             not_run=False,
             request_id=request.request_id,
         )
 
 
-_ELSEWHERE = errors.collect_values(
+_RETRY_ELSEWHERE = errors.collect_values(
     errors.ErrorKind.NOT_OWNER,
     errors.ErrorKind.NO_ENDPOINT,
     errors.ErrorKind.NO_LEASE,
@@ -327,12 +335,12 @@
 
 
 def build_claim_id(request: CommandRequest) -> str:
-    """Return the key under which a request is claimed."""
+    """Return the id of the claim of a request."""
     return f"{request.customer}/{request.idempotency_key}"
 
 
 def build_claim(request: CommandRequest) -> rows.Claim:
-    """Build the claim of a request."""
+    """Build the claim of a request, with a digest of its content."""
     content = msgspec.json.encode(
         (request.service, request.key, request.command), order="sorted"
     )
--- a/chervilspindle/query/entry.py
+++ b/chervilspindle/query/entry.py
@@ -1,4 +1,4 @@
-"""The entry role of a VM: session, directory, gatherer, owner, commands."""
+"""The entry role of a VM, and its handlers of messages from peers."""
 
 import functools
 import random
@@ -17,14 +17,14 @@
 from chervilspindle.query import explain
 from chervilspindle.query import gather
 from chervilspindle.query import owner as owner_module
+from chervilspindle.query import query_state
 from chervilspindle.query import requests
-from chervilspindle.query import running
 from chervilspindle.query import session as session_module
 from chervilspindle.wire import messages
 
-FORWARD_S = 0.1
-STATE_S = 1.0
-DRAIN_CHECK_S = 0.05
+LOAD_FORWARD_DELAY_S = 0.1
+STATE_METRICS_PERIOD_S = 1.0
+DRAIN_CHECK_PERIOD_S = 0.05
 READY_LINGER_S = 1.5
 EXPLAIN_TIMEOUT_S = 1.0
 STATUS_TIMEOUT_S = 2.0
@@ -32,32 +32,32 @@
 
 
 class LocalTarget:
-    """Takes the owner's replies to this entry's own parts."""
+    """Delivers replies of the local owner to the local gatherer."""
 
     def __init__(self, gatherer):
         self.gatherer = gatherer
 
     def send(self, message):
-        """Pass replies to the gatherer."""
+        """Pass a reply to the gatherer."""
         self.gatherer.receive(message)
 
 
 class Entry:
-    """One entry process.
+    """One process of the entry role.
 
     Parameters
     ----------
     settings : Settings
     network : PeerNetwork
-        Its handler has to pass messages to `handle`.
+        Its handler must pass messages to `handle`.
     build_client : callable
-        Builds endpoint clients.
+        ``build_client(address, connections)`` returns an endpoint client.
     timers : TimerService
     read_clock : callable
         Monotonic milliseconds.
     metrics : Metrics
     seed : int, optional
-        Seed of random choices.
+        Seed for random choices.
     """
 
     def __init__(
@@ -127,19 +127,21 @@
             self.explainer,
         )
         self.local_target = LocalTarget(self.gatherer)
-        self.loads_by_session = {}
+        self.pending_loads_by_session = {}
         self.bucket_by_customer = {}
         self.in_flight = 0
-        self.refuses = False
-        network.lost_listeners.append(self.gatherer.lose_owner)
+        self.is_rejecting = False
+        network.lost_listeners.append(self.gatherer.handle_connection_lost)
 
     def start(self):
-        """Start the session and the periodic work."""
+        """Start the session and the periodic tasks."""
         self.session.start()
-        self.timers.subscribe("entry-state", STATE_S, self._watch_state)
+        self.timers.subscribe(
+            "entry-state", STATE_METRICS_PERIOD_S, self._update_state_metrics
+        )
 
     def is_ready(self) -> bool:
-        """Tell whether the balancer may send callers here."""
+        """Tell whether the load balancer may send requests here."""
         return (
             self.lifecycle.get_state() == "ready" and self.session.is_valid()
         )
@@ -150,14 +152,14 @@
 
         Returns
         -------
-        Deferred of running.Answer
+        Deferred of query_state.Answer
             Fails with `ProblemError`.
         """
         request_id = gather.build_request_id(self.settings.vm_id)
         grant = self._admit(header, request_id)
         body = requests.decode_body(data, requests.QueryBody)
         request = self._build_query(request_id, grant, body)
-        answer = yield self._track(
+        answer = yield self._run_measured(
             "query", grant, lambda: self.gatherer.submit(request)
         )
         return answer
@@ -169,24 +171,24 @@
         Returns
         -------
         Deferred of (str, bytes)
-            Request id and JSON of the value. Fails with `ProblemError`.
+            Request id, and the value as JSON. Fails with `ProblemError`.
         """
         request_id = gather.build_request_id(self.settings.vm_id)
         grant = self._admit(header, request_id)
         body = requests.decode_body(data, requests.CommandBody)
         request = self._build_command(request_id, grant, body, idempotency_key)
-        value = yield self._track(
+        value = yield self._run_measured(
             "command", grant, lambda: self.commands.run(request)
         )
         return request_id, value
 
-    def take_announcement(self, endpoint: rows.Endpoint, in_use: int):
-        """Take in what an endpoint announced."""
-        known = self.directory.endpoint_by_id.get(endpoint.endpoint_id)
-        if known is not None and known.incarnation > endpoint.incarnation:
+    def handle_announcement(self, endpoint: rows.Endpoint, in_use: int):
+        """Report an announced endpoint to control, its load to its owner."""
+        current = self.directory.endpoint_by_id.get(endpoint.endpoint_id)
+        if current is not None and current.incarnation > endpoint.incarnation:
             return
-        if known is None or rows.is_changed(endpoint, known):
-            if known is None or rows.is_newer(endpoint, known):
+        if current is None or rows.is_changed(endpoint, current):
+            if current is None or rows.is_newer(endpoint, current):
                 self.session.report(endpoint)
         load = messages.Load(
             endpoint.endpoint_id,
@@ -200,17 +202,17 @@
             return
         vm = route.vm
         if vm.session == self.session.vm.session:
-            self.owner.note_load(load)
+            self.owner.handle_load(load)
             return
-        if not self.loads_by_session:
-            self.timers.call_later(FORWARD_S, self._forward_loads)
-        self.loads_by_session.setdefault(vm.session, []).append(load)
+        if not self.pending_loads_by_session:
+            self.timers.call_later(LOAD_FORWARD_DELAY_S, self._forward_loads)
+        self.pending_loads_by_session.setdefault(vm.session, []).append(load)
         if endpoint.state == "draining":
             self._forward_loads()
 
     @defer.inlineCallbacks
     def apply_lists(self, parsed, if_revision, change_id):
-        """Ask control to replace the two lists.
+        """Ask control to replace the lists of customers and plans.
 
         Returns
         -------
@@ -239,7 +241,7 @@
 
     @defer.inlineCallbacks
     def explain_request(self, request_id: str):
-        """Find the decisions of a request, here or at its gatherer.
+        """Return the decisions on a request, from here or its gathering VM.
 
         Returns
         -------
@@ -262,22 +264,22 @@
         return b""
 
     def handle(self, link, message):
-        """Handle a message of a peer."""
+        """Handle a message from a peer."""
         return handle_peer(message, self, link)
 
     @defer.inlineCallbacks
     def drain(self):
-        """Hand over endpoints, stop admitting, end what is in flight."""
+        """Hand over endpoints, stop admitting, wait for requests in flight."""
         self.lifecycle.drain()
         logs.log_decision("drain", session=self.session.vm.session)
         self.session.set_state("draining")
         due = self.timers.clock.seconds() + self.settings.drain_seconds
-        # Callers are served until the balancer has seen the failing
-        # readiness check and sends no more of them.
+        # Serve requests until the load balancer has noticed the failing
+        # readiness check and sends no more.
         yield self._pause(READY_LINGER_S)
-        self.refuses = True
+        self.is_rejecting = True
         while self.timers.clock.seconds() < due and self._is_busy():
-            yield self._pause(DRAIN_CHECK_S)
+            yield self._pause(DRAIN_CHECK_PERIOD_S)
         yield self.session.leave()
         self.lifecycle.drained()
         logs.log_decision("drained", session=self.session.vm.session)
@@ -285,23 +287,23 @@
     def _is_busy(self):
         return bool(
             self.in_flight
-            or self.commands.background
+            or self.commands.background_calls
             or self.owner.count_work()
-            or self._has_heirs()
+            or self._can_hand_over()
         )
 
-    def _has_heirs(self):
-        """Tell whether endpoints of this VM are still to be handed over."""
+    def _can_hand_over(self):
+        """Tell whether this VM has endpoints that another can take over."""
         if not self.owner.owned_by_id or not self.session.is_valid():
             return False
-        own = self.session.vm.session
+        own_session = self.session.vm.session
         return any(
-            vm.state == "ready" and vm.session != own
+            vm.state == "ready" and vm.session != own_session
             for vm in self.directory.vm_by_session.values()
         )
 
     def _admit(self, header, request_id):
-        if self.refuses:
+        if self.is_rejecting:
             raise errors.build_error(
                 errors.ErrorKind.DRAINING,
                 "this VM is shutting down",
@@ -310,7 +312,7 @@
         if not self.session.is_valid():
             raise errors.build_error(
                 errors.ErrorKind.NO_LEASE,
-                "this VM has no lease from control",
+                "this VM has no valid lease from control",
                 request_id=request_id,
             )
         grant = requests.authenticate(header, self.directory.lists)
@@ -321,10 +323,13 @@
         rate = grant.plan.rate
         if not rate:
             return
-        vms = self.directory.ready_vms
+        vm_count = self.directory.ready_vm_count
         buckets = rates.evict_oldest(self.bucket_by_customer)
         verdict = rates.take_token(
-            buckets.get(grant.customer), rate, max(1, vms), self.read_clock()
+            buckets.get(grant.customer),
+            rate,
+            max(1, vm_count),
+            self.read_clock(),
         )
         buckets[grant.customer] = verdict.bucket
         self.bucket_by_customer = buckets
@@ -335,7 +340,7 @@
         )
         raise errors.build_error(
             errors.ErrorKind.OVER_PLAN,
-            f"more than the plan's {rate:g} requests a second",
+            f"rate limit of the plan exceeded: {rate:g} requests per second",
             retry_after_ms=verdict.retry_after_ms,
             request_id=request_id,
         )
@@ -346,7 +351,7 @@
         services = requests.match_plan_services(
             body.services, grant.plan, self.directory.list_services()
         )
-        return running.QueryRequest(
+        return query_state.QueryRequest(
             request_id,
             grant.customer,
             grant.plan.share,
@@ -368,7 +373,7 @@
         if not 0 < length <= requests.MAX_KEY_CHARACTERS:
             raise errors.build_error(
                 errors.ErrorKind.MALFORMED,
-                "an Idempotency-Key of 1 to 200 characters is needed",
+                "Idempotency-Key must have 1 to 200 characters",
                 source="header Idempotency-Key",
             )
         return commands.CommandRequest(
@@ -384,7 +389,7 @@
         )
 
     @defer.inlineCallbacks
-    def _track(self, kind, grant, start):
+    def _run_measured(self, kind, grant, start):
         started = self.read_clock()
         self.in_flight += 1
         answer = "ok"
@@ -400,7 +405,7 @@
 
     def _send_to_owner(self, vm, message):
         if vm.session == self.session.vm.session:
-            # The reply comes in a later turn, as it would from a peer.
+            # Deliver in a later turn of the event loop, as from a peer.
             self.timers.call_later(
                 0, handle_peer, message, self, self.local_target
             )
@@ -413,14 +418,17 @@
         return handle_peer(message, self, self.local_target)
 
     def _forward_loads(self):
-        loads_by_session, self.loads_by_session = self.loads_by_session, {}
-        for session, loads in loads_by_session.items():
+        pending_loads_by_session, self.pending_loads_by_session = (
+            self.pending_loads_by_session,
+            {},
+        )
+        for session, loads in pending_loads_by_session.items():
             vm = self.directory.vm_by_session.get(session)
             if vm is not None:
                 report = messages.LoadReport(tuple(loads))
                 self.network.send(vm.peer_address, report)
 
-    def _watch_state(self):
+    def _update_state_metrics(self):
         if self.session.is_valid():
             self.lifecycle.lease_gained()
         self.metrics.set_state("lease_ms", self.session.get_lease_ms())
@@ -437,8 +445,16 @@
 
 @functools.singledispatch
 def handle_peer(message, entry: Entry, link):
-    """Handle one message of a peer; returns a reply, Deferred or None."""
-    raise TypeError(f"not a message for an entry: {type(message).__name__}")
+    """Handle a message from a peer.
+
+    Returns
+    -------
+    message, Deferred of message, or None
+        The reply, if the message has one.
+    """
+    raise TypeError(
+        f"an entry does not accept {type(message).__name__} messages"
+    )
 
 
 @handle_peer.register
@@ -466,17 +482,17 @@
 @handle_peer.register
 def _handle_load_report(message: messages.LoadReport, entry: Entry, link):
     for load in message.loads:
-        entry.owner.note_load(load)
+        entry.owner.handle_load(load)
 
 
 @handle_peer.register
 def _handle_hand_over(message: messages.HandOverCall, entry: Entry, link):
-    return entry.owner.desk.hand_over(message, link)
+    return entry.owner.handover_manager.hand_over(message, link)
 
 
 @handle_peer.register
 def _handle_slots_left(message: messages.SlotsLeft, entry: Entry, link):
-    entry.owner.note_slots_left(message)
+    entry.owner.handle_slots_left(message)
 
 
 @handle_peer.register
@@ -486,7 +502,7 @@
 
 
 def describe_lists(lists: rows.Lists) -> dict:
-    """Return the lists with their revision, as operators read them."""
+    """Return the lists and their revision in the format for operators."""
     return {
         "revision": lists.revision,
         **lists_module.describe_lists(lists),
--- a/chervilspindle/query/explain.py
+++ b/chervilspindle/query/explain.py
@@ -1,31 +1,31 @@
-"""Remembers what was decided for recent requests."""
+"""Record of the decisions on recent requests, for /v1/explain."""
 
 import collections
 import json
 
 from chervilspindle.core import logs
 
-REQUESTS_KEPT = 5000
+MAX_REQUESTS = 5000
 
 
 class Explainer:
-    """Logs decisions and keeps those of the latest requests."""
+    """Logs decisions and keeps those on the latest `MAX_REQUESTS` requests."""
 
     def __init__(self):
         self.decisions_by_id = collections.OrderedDict()
 
-    def note(self, request_id: str, decision: str, **fields):
-        """Log a decision and remember it."""
+    def record(self, request_id: str, decision: str, **fields):
+        """Log a decision and keep it."""
         logs.log_decision(decision, request_id=request_id, **fields)
         decisions = self.decisions_by_id.get(request_id)
         if decisions is None:
             decisions = self.decisions_by_id[request_id] = []
-            if len(self.decisions_by_id) > REQUESTS_KEPT:
+            if len(self.decisions_by_id) > MAX_REQUESTS:
                 self.decisions_by_id.popitem(last=False)
         decisions.append({"decision": decision, **fields})
 
     def describe(self, request_id: str) -> bytes:
-        """Return the decisions as JSON, empty if none are known."""
+        """Return the decisions on a request as JSON, empty if none."""
         decisions = self.decisions_by_id.get(request_id)
         if decisions is None:
             return b""
--- a/chervilspindle/query/gather.py
+++ b/chervilspindle/query/gather.py
@@ -1,8 +1,8 @@
-"""Gathers an answer: picks replicas, sends parts to owners, merges replies.
+"""Scatter-gather of queries: choice of replicas, sends, merge of replies.
 
-A query reads one snapshot. Each shard is settled once, by the first good
-reply to one of its parts; a reply that belongs to another attempt, shard or
-snapshot is dropped. The answer goes out as soon as every shard is settled.
+A query reads one snapshot. Each shard is settled once, by the first
+successful reply to one of its parts; a reply to another attempt, shard or
+snapshot is dropped. The query is answered as soon as every shard is settled.
 """
 
 import heapq
@@ -17,10 +17,10 @@
 from chervilspindle.policy import replicas
 from chervilspindle.query import answers
 from chervilspindle.query import directory as directory_module
-from chervilspindle.query import running
+from chervilspindle.query import query_state
 from chervilspindle.wire import messages
 
-TICK_S = 0.002
+MIN_TICK_DELAY_S = 0.002
 MAX_ATTEMPTS = 3
 MAX_SENDS = 5
 RETRY_PAUSE_MS = 60.0
@@ -28,24 +28,24 @@
 
 
 class Gatherer:
-    """All queries that this entry gathers.
+    """Runs the queries that this entry has admitted.
 
     Parameters
     ----------
     vm : rows.Vm
     directory : Directory
     send : callable
-        ``send(vm, message)`` to an owner; may lose the message.
+        ``send(vm, message)`` sends to an owner; delivery is not guaranteed.
     timers : TimerService
     read_clock : callable
         Monotonic milliseconds.
     explainer : Explainer
     metrics : Metrics
     extra_load_share : float
-        Budget of hedges.
+        Hedges allowed per part sent.
     random : random.Random
     baselines : tuple of str
-        Mechanisms that an experiment switches off.
+        Mechanisms that are disabled, for baseline measurements.
     """
 
     def __init__(
@@ -68,8 +68,8 @@
         self.explainer = explainer
         self.metrics = metrics
         self.random = random
-        self.may_hedge = "no-hedge" not in baselines
-        self.chooses_at_random = "random-replica" in baselines
+        self.hedging_enabled = "no-hedge" not in baselines
+        self.picks_random_replica = "random-replica" in baselines
         self.hedge_budget = hedging.build_budget(
             extra_load_share, hedging.HEDGE_BURST
         )
@@ -81,35 +81,35 @@
         )
         self.query_by_id = {}
         self.stats_by_endpoint = {}
-        self.lateness = hedging.LatencyStats(typical_ms_by_service={})
+        self.latency_stats = hedging.LatencyStats(typical_ms_by_service={})
         self.parts_by_customer = {}
         self.weight_by_customer = {}
         self.parts_in_flight = 0
-        self.agenda = []
-        self.agenda_number = 0
+        self.timed_events = []
+        self.event_number = 0
         self.timers = timers
-        self.wake = None
-        self.wake_ms = math.inf
+        self.tick_timer = None
+        self.next_tick_ms = math.inf
 
-    def submit(self, request: running.QueryRequest) -> defer.Deferred:
+    def submit(self, request: query_state.QueryRequest) -> defer.Deferred:
         """Run a query.
 
         Returns
         -------
-        Deferred of running.Answer
+        Deferred of query_state.Answer
             Fails with `ProblemError`.
         """
         now = self.read_clock()
-        plan = self._plan(request, frozenset())
-        self._check_room(request, len(plan.shards))
-        query = running.RunningQuery(request, defer.Deferred(), now)
+        plan = self._plan_query(request, frozenset())
+        self._check_capacity(request, len(plan.shards))
+        query = query_state.RunningQuery(request, defer.Deferred(), now)
         self.query_by_id[request.request_id] = query
         self._schedule(query.due_ms, "deadline", query, None)
         self._start_attempt(query, plan)
         return query.deferred
 
     def receive(self, message: messages.SubReply):
-        """Take replies of an owner."""
+        """Handle the replies of an owner."""
         query = self.query_by_id.get(message.request_id)
         if query is None or message.attempt != query.attempt:
             return
@@ -118,24 +118,24 @@
                 return
             if query.attempt != message.attempt:
                 return
-            self._take_reply(query, reply)
+            self._handle_reply(query, reply)
         self._finish_if_settled(query)
 
-    def lose_owner(self, address: str):
-        """Handle the loss of a link: what was sent on it may have run."""
+    def handle_connection_lost(self, address: str):
+        """Fail the parts sent over a lost connection; they may have run."""
         for query in list(self.query_by_id.values()):
             for shard in query.shards:
                 for number, send in list(shard.outstanding.items()):
                     if send.address == address:
-                        self._lose_part(query, shard, number)
+                        self._fail_part(query, shard, number)
             self._finish_if_settled(query)
 
     def tick(self):
-        """Run what is due: hedges, retries and deadlines."""
-        self.wake_ms = math.inf
+        """Run the hedges, retries and deadlines that are due."""
+        self.next_tick_ms = math.inf
         now = self.read_clock()
-        while self.agenda and self.agenda[0][0] <= now:
-            _, _, kind, query, item = heapq.heappop(self.agenda)
+        while self.timed_events and self.timed_events[0][0] <= now:
+            _, _, kind, query, item = heapq.heappop(self.timed_events)
             if query.request.request_id not in self.query_by_id:
                 continue
             if kind == "deadline":
@@ -143,13 +143,13 @@
             elif item[0] != query.attempt:
                 continue
             elif kind == "retry":
-                self._insist(query, query.shards[item[1]])
+                self._retry_paused(query, query.shards[item[1]])
             else:
                 self._hedge(query, query.shards[item[1]], kind == "rescue")
-        self._plan_wake()
+        self._schedule_tick()
 
     def choose_endpoint(self, endpoint_ids):
-        """Return the replica with the least expected finish, or None."""
+        """Return the usable replica expected to finish first, or None."""
         candidates = [
             self._build_candidate(endpoint_id)
             for endpoint_id in endpoint_ids
@@ -157,22 +157,22 @@
         ]
         if not candidates:
             return None
-        if self.chooses_at_random:
+        if self.picks_random_replica:
             return self.random.choice(candidates).endpoint_id
         best = replicas.choose_replica(
             candidates, self.read_clock(), self.random.random
         )
         return best.endpoint_id
 
-    def _plan(self, request, excluded):
+    def _plan_query(self, request, excluded):
         key = request.query.get("key")
         slot = None
         if isinstance(key, str):
             slot = directory_module.hash_key(key)
         return self.directory.plan_query(request.services, slot, excluded)
 
-    def _check_room(self, request, parts):
-        own = self.parts_by_customer.get(request.customer, 0)
+    def _check_capacity(self, request, parts):
+        customer_parts = self.parts_by_customer.get(request.customer, 0)
         active = sum(
             self.weight_by_customer[c]
             for c in self.parts_by_customer
@@ -180,11 +180,15 @@
         )
         load = admission.EntryLoad(self.parts_in_flight, MAX_PARTS_IN_FLIGHT)
         if not admission.may_admit(
-            load, own, parts, request.weight, active + request.weight
+            load,
+            customer_parts,
+            parts,
+            request.weight,
+            active + request.weight,
         ):
             raise errors.build_error(
                 errors.ErrorKind.OVER_PLAN,
-                "too many requests in flight for the customer's share",
+                "requests in flight exceed the customer's share of this VM",
                 request_id=request.request_id,
             )
 
@@ -192,14 +196,14 @@
         query.plan = plan
         query.attempt += 1
         query.shards = tuple(
-            running.ShardState(shard, index)
+            query_state.ShardState(shard, index)
             for index, shard in enumerate(plan.shards)
         )
         query.shard_by_send = {}
-        query.open_count = len(query.shards)
-        self._count_parts(query.request, len(query.shards))
+        query.unsettled_count = len(query.shards)
+        self._add_parts_in_flight(query.request, len(query.shards))
         request = query.request
-        self.explainer.note(
+        self.explainer.record(
             request.request_id,
             "plan",
             customer=request.customer,
@@ -228,7 +232,7 @@
         self._finish_if_settled(query)
 
     def _send_parts(self, query, chosen, reason, insist=False):
-        """Send parts, one message for each owner."""
+        """Send parts to their owners, one message per owner."""
         now = self.read_clock()
         parts_by_session = {}
         for shard, endpoint_id in chosen:
@@ -244,16 +248,16 @@
                 insist,
             )
             parts_by_session.setdefault(vm.session, []).append(part)
-            shard.outstanding[number] = running.Send(
+            shard.outstanding[number] = query_state.Send(
                 endpoint_id, epoch, vm.peer_address, now
             )
             shard.tried.append(endpoint_id)
-            shard.sent_ms = shard.sent_ms or now
+            shard.first_sent_ms = shard.first_sent_ms or now
             self._update_stats(endpoint_id, replicas.record_sent, now)
             self._schedule_hedge(query, shard, now)
         request = query.request
         for session, parts in parts_by_session.items():
-            self.explainer.note(
+            self.explainer.record(
                 request.request_id,
                 "route",
                 customer=request.customer,
@@ -275,37 +279,44 @@
             self.send(self.directory.vm_by_session[session], message)
 
     def _schedule_hedge(self, query, shard, now, kind="hedge"):
-        if not self.may_hedge or len(shard.plan.endpoint_ids) < 2:
+        if not self.hedging_enabled or len(shard.plan.endpoint_ids) < 2:
             return
-        delay = hedging.get_hedge_delay_ms(self.lateness, shard.plan.service)
+        delay = hedging.get_hedge_delay_ms(
+            self.latency_stats, shard.plan.service
+        )
         if now + delay < query.due_ms:
             item = (query.attempt, shard.index)
             self._schedule(now + delay, kind, query, item)
 
     def _schedule(self, due_ms, kind, query, item):
-        self.agenda_number += 1
+        self.event_number += 1
         heapq.heappush(
-            self.agenda, (due_ms, self.agenda_number, kind, query, item)
+            self.timed_events, (due_ms, self.event_number, kind, query, item)
         )
-        self._plan_wake()
+        self._schedule_tick()
 
-    def _plan_wake(self):
-        """Have `tick` run when the first item of the agenda is due."""
-        if not self.agenda or self.agenda[0][0] >= self.wake_ms:
+    def _schedule_tick(self):
+        """Have `tick` run when the earliest timed event is due."""
+        if (
+            not self.timed_events
+            or self.timed_events[0][0] >= self.next_tick_ms
+        ):
             return
-        if self.wake is not None and self.wake.active():
-            self.wake.cancel()
-        self.wake_ms = self.agenda[0][0]
-        delay_s = (self.wake_ms - self.read_clock()) / 1000.0
-        self.wake = self.timers.call_later(max(delay_s, TICK_S), self.tick)
+        if self.tick_timer is not None and self.tick_timer.active():
+            self.tick_timer.cancel()
+        self.next_tick_ms = self.timed_events[0][0]
+        delay_s = (self.next_tick_ms - self.read_clock()) / 1000.0
+        self.tick_timer = self.timers.call_later(
+            max(delay_s, MIN_TICK_DELAY_S), self.tick
+        )
 
     def _hedge(self, query, shard, is_rescue):
-        """Send a late part to another replica, if a budget allows it.
+        """Send a late part to another replica, if the budget allows it.
 
-        A part for which the budget of hedges has no room is looked at once
-        more after the same delay. One that is still out by then is truly
-        late, which is rare unless endpoints straggle, and has a budget of
-        its own: extra load grows only while it is of use.
+        A part that the hedge budget refused is checked once more after the
+        same delay. If it is still unanswered, its hedge ("rescue") spends a
+        separate budget. Such parts are rare unless endpoints are slow, so
+        this adds load only when it is useful.
         """
         if shard.settled or len(shard.tried) >= MAX_SENDS:
             return
@@ -327,9 +338,13 @@
         self._send_parts(query, [(shard, endpoint_id)], reason)
 
     def _is_straggler(self, query, shard):
-        delay = hedging.get_hedge_delay_ms(self.lateness, shard.plan.service)
-        late = (self.read_clock() - shard.sent_ms) / delay
-        return hedging.is_straggler(len(query.shards), query.open_count, late)
+        delay = hedging.get_hedge_delay_ms(
+            self.latency_stats, shard.plan.service
+        )
+        delay_ratio = (self.read_clock() - shard.first_sent_ms) / delay
+        return hedging.is_straggler(
+            len(query.shards), query.unsettled_count, delay_ratio
+        )
 
     def _spend_hedge(self, is_rescue):
         if is_rescue:
@@ -344,7 +359,7 @@
 
     def _refuse_hedge(self, query, shard, endpoint_id, is_rescue):
         self.metrics.count_refused_hedge()
-        self.explainer.note(
+        self.explainer.record(
             query.request.request_id,
             "hedge-refused",
             endpoint=endpoint_id,
@@ -354,10 +369,10 @@
             self._schedule_hedge(query, shard, self.read_clock(), "rescue")
 
     def _choose_hedge(self, shard):
-        """Return another replica; one that was tried if none is left.
+        """Return an untried replica, or any replica if all were tried.
 
-        A hedge may be late itself, and lateness is most often one of the
-        request and not of the endpoint.
+        A hedge may be late too, and a delay is more often specific to one
+        request than to the endpoint, so trying a replica twice can help.
         """
         untried = [i for i in shard.plan.endpoint_ids if i not in shard.tried]
         endpoint_id = self.choose_endpoint(untried)
@@ -365,7 +380,7 @@
             endpoint_id = self.choose_endpoint(shard.plan.endpoint_ids)
         return endpoint_id
 
-    def _take_reply(self, query, reply):
+    def _handle_reply(self, query, reply):
         shard = query.shard_by_send.get(reply.send)
         if shard is None or reply.send not in shard.outstanding:
             return
@@ -380,7 +395,7 @@
             reply.backlog_ms,
             now,
         )
-        if reply.status in _UNHEALTHY:
+        if reply.status in _ENDPOINT_FAILURES:
             self._update_stats(
                 reply.endpoint_id, replicas.record_unavailable, now
             )
@@ -393,21 +408,22 @@
         shard.retry_after_ms = max(shard.retry_after_ms, reply.retry_after_ms)
         shard.reason = reply.status
         if reply.status == errors.ErrorKind.SNAPSHOT_GONE.value:
-            self._restart(query, shard)
+            self._restart_on_other_snapshot(query, shard)
             return
-        self._retry_or_miss(query, shard, reply.dispatched)
+        self._retry_or_settle(query, shard, reply.dispatched)
 
     def _follow_handover(self, query, shard, send, reply):
-        """Send a part on to the new owner of an endpoint.
+        """Resend a part to the new owner of the same endpoint.
 
-        The refusal says nothing of the endpoint: the part waits there for
-        its turn as it would have with the owner before.
+        A refusal by the previous owner is no sign of a failing endpoint, so
+        the endpoint is kept: the part queues for it at the new owner as it
+        did at the previous one.
         """
         if reply.status != errors.ErrorKind.NOT_OWNER.value or shard.settled:
             return False
         if len(shard.tried) >= MAX_SENDS:
             return False
-        if not self.directory.reroute(send.endpoint_id, send.epoch):
+        if not self.directory.invalidate_route(send.endpoint_id, send.epoch):
             return False
         if not self._is_usable(send.endpoint_id):
             return False
@@ -418,11 +434,11 @@
     def _settle_value(self, query, shard, reply, now):
         shard.value = reply.value
         shard.settled = True
-        query.open_count -= 1
-        self.lateness = hedging.record_latency(
-            self.lateness,
+        query.unsettled_count -= 1
+        self.latency_stats = hedging.record_latency(
+            self.latency_stats,
             shard.plan.service,
-            now - shard.sent_ms,
+            now - shard.first_sent_ms,
             self.hedge_budget.share,
         )
         self._cancel_parts(query, (shard,))
@@ -430,9 +446,9 @@
     def _settle_missing(self, query, shard, reason):
         shard.reason = reason
         shard.settled = True
-        query.open_count -= 1
+        query.unsettled_count -= 1
 
-    def _lose_part(self, query, shard, number):
+    def _fail_part(self, query, shard, number):
         send = shard.outstanding.pop(number, None)
         if send is None:
             return
@@ -442,10 +458,13 @@
         shard.may_have_run = True
         if not shard.settled:
             shard.reason = errors.ErrorKind.CONNECTION_LOST.value
-            self._retry_or_miss(query, shard, True)
+            self._retry_or_settle(query, shard, True)
+
+    def _retry_or_settle(self, query, shard, dispatched):
+        """Retry a failed part, now or later, or settle its shard as missing.
 
-    def _retry_or_miss(self, query, shard, dispatched):
-        """Retry a failed part once more if there is reason to hope."""
+        Does nothing while another send for the shard is outstanding.
+        """
         if shard.outstanding:
             return
         now = self.read_clock()
@@ -459,7 +478,7 @@
             if not granted:
                 endpoint_id = None
         if endpoint_id is None:
-            if not self._pause_retry(query, shard, now):
+            if not self._schedule_paused_retry(query, shard, now):
                 self._settle_missing(query, shard, shard.reason)
             return
         query.retries += 1
@@ -469,14 +488,22 @@
             query, [(shard, endpoint_id)], f"retry after {shard.reason}"
         )
 
-    def _pause_retry(self, query, shard, now):
-        """Put off a shard whose replicas were all refused for the moment.
+    def _schedule_paused_retry(self, query, shard, now):
+        """Schedule a delayed retry after transient refusals by all replicas.
+
+        An owner that has paused an endpoint or has just handed it over
+        refuses parts without running them, so a retry puts no load on the
+        endpoints.
 
-        An owner that pauses an endpoint, or that has just handed it over,
-        refuses parts without running them, so trying again costs endpoints
-        nothing.
+        Returns
+        -------
+        bool
+            True if a retry is scheduled.
         """
-        if shard.reason not in _MOMENTARY or len(shard.tried) >= MAX_SENDS:
+        if (
+            shard.reason not in _TRANSIENT_REFUSALS
+            or len(shard.tried) >= MAX_SENDS
+        ):
             return False
         if now + RETRY_PAUSE_MS >= query.due_ms:
             return False
@@ -484,8 +511,11 @@
         self._schedule(now + RETRY_PAUSE_MS, "retry", query, item)
         return True
 
-    def _insist(self, query, shard):
-        """Try a shard again that was refused everywhere."""
+    def _retry_paused(self, query, shard):
+        """Run a retry scheduled by `_schedule_paused_retry`.
+
+        The part asks the owner to try the endpoint even if it is paused.
+        """
         if shard.settled or shard.outstanding:
             return
         endpoint_id = self.choose_endpoint(shard.plan.endpoint_ids)
@@ -510,11 +540,15 @@
             return None
         return self.choose_endpoint(shard.plan.endpoint_ids)
 
-    def _restart(self, query, shard):
-        """Start again on another snapshot; parts of the old one are void."""
+    def _restart_on_other_snapshot(self, query, shard):
+        """Restart a query on another snapshot and cancel the current attempt.
+
+        `shard` is settled as missing if no attempt, time or snapshot is
+        left.
+        """
         now = self.read_clock()
         excluded = query.excluded | {query.plan.snapshot}
-        plan = self._plan(query.request, excluded)
+        plan = self._plan_query(query.request, excluded)
         if query.attempt >= MAX_ATTEMPTS or not plan.shards:
             self._settle_missing(query, shard, shard.reason)
             return
@@ -522,11 +556,11 @@
             self._settle_missing(query, shard, shard.reason)
             return
         query.excluded = excluded
-        query.ran_before = query.ran_before or any(
+        query.earlier_attempt_ran = query.earlier_attempt_ran or any(
             s.may_have_run or s.outstanding for s in query.shards
         )
         self._cancel_parts(query, query.shards)
-        self._count_parts(query.request, -len(query.shards))
+        self._add_parts_in_flight(query.request, -len(query.shards))
         self._start_attempt(query, plan)
 
     def _cancel_parts(self, query, shards):
@@ -559,7 +593,7 @@
     def _finish_if_settled(self, query):
         if query.request.request_id not in self.query_by_id:
             return
-        if query.open_count == 0:
+        if query.unsettled_count == 0:
             self._finish(query)
         elif not query.request.partial and any(
             s.settled and s.value is None for s in query.shards
@@ -567,40 +601,40 @@
             self._finish(query)
 
     def _finish(self, query):
-        """Give the final answer, whole or with what is missing."""
+        """Answer a query, or fail it if it has no result that may be sent."""
         request = query.request
         del self.query_by_id[request.request_id]
-        self._count_parts(request, -len(query.shards))
+        self._add_parts_in_flight(request, -len(query.shards))
         deadline = errors.ErrorKind.DEADLINE.value
         for shard in query.shards:
             if not shard.settled:
                 shard.reason = deadline
-                self._mark_failed(shard)
+                self._mark_unanswered_failed(shard)
         self._cancel_parts(query, query.shards)
         missing = answers.list_missing(query)
         results = answers.list_results(query)
-        self._note_answer(query, results, missing)
+        self._record_answer(query, results, missing)
         if missing and (not results or not request.partial):
             query.deferred.errback(answers.build_failure(query, missing))
             return
-        answer = running.Answer(
+        answer = query_state.Answer(
             request.request_id, query.plan.snapshot, results, missing
         )
         query.deferred.callback(answer)
 
-    def _mark_failed(self, shard):
-        """Avoid for a while the endpoints that kept a shard waiting."""
+    def _mark_unanswered_failed(self, shard):
+        """Avoid, for a while, the endpoints that have not answered a shard."""
         now = self.read_clock()
         for send in shard.outstanding.values():
             self._update_stats(
                 send.endpoint_id, replicas.record_unavailable, now
             )
 
-    def _note_answer(self, query, results, missing):
+    def _record_answer(self, query, results, missing):
         self.metrics.count_shards("ok", len(results))
         for row in missing:
             self.metrics.count_shards(row.reason, 1)
-        self.explainer.note(
+        self.explainer.record(
             query.request.request_id,
             "answer",
             customer=query.request.customer,
@@ -612,11 +646,11 @@
             elapsed_ms=round(self.read_clock() - query.started_ms, 2),
         )
 
-    def _count_parts(self, request, count):
+    def _add_parts_in_flight(self, request, count):
         self.parts_in_flight += count
-        left = self.parts_by_customer.get(request.customer, 0) + count
-        if left > 0:
-            self.parts_by_customer[request.customer] = left
+        remaining = self.parts_by_customer.get(request.customer, 0) + count
+        if remaining > 0:
+            self.parts_by_customer[request.customer] = remaining
             self.weight_by_customer[request.customer] = request.weight
         else:
             self.parts_by_customer.pop(request.customer, None)
@@ -643,11 +677,11 @@
         )
 
 
-_MOMENTARY = errors.collect_values(
+_TRANSIENT_REFUSALS = errors.collect_values(
     errors.ErrorKind.NO_ENDPOINT, errors.ErrorKind.NOT_OWNER
 )
 
-_UNHEALTHY = errors.collect_values(
+_ENDPOINT_FAILURES = errors.collect_values(
     errors.ErrorKind.NO_ENDPOINT,
     errors.ErrorKind.NOT_OWNER,
     errors.ErrorKind.NO_LEASE,
@@ -657,5 +691,5 @@
 
 
 def build_request_id(vm_id: str) -> str:
-    """Return a unique request id that names the gathering VM."""
+    """Return a unique request id; its prefix names the VM of the query."""
     return f"{vm_id}~{uuid.uuid4().hex}"
--- a/features/handover_model_test.py
+++ b/features/handover_model_test.py
@@ -51,7 +51,7 @@
 
     def call_later(self, delay_s, callback, *args):
         """Keep a call of the handover desk."""
-        if getattr(callback, "__name__", "") == "_ask":
+        if getattr(callback, "__name__", "") == "_request_handover":
             self.planned.append((callback, args))
 
 
@@ -188,7 +188,7 @@
             (
                 e.directory.ownership_by_id.get("e"),
                 e.owner.owned_by_id["e"].epoch if e.owner.owned_by_id else 0,
-                e.owner.desk.given_epoch_by_id.get("e", 0),
+                e.owner.handover_manager.released_epoch_by_id.get("e", 0),
                 e.session.valid,
                 tuple(sorted(e.session.taken)),
                 len(e.timers.planned),
@@ -271,8 +271,10 @@
 
     def _copy(self, number):
         call = self.calls[number]
-        desk = self.entry_by_name[call.target].owner.desk
-        return desk.hand_over(call.message, None)
+        handover_manager = self.entry_by_name[
+            call.target
+        ].owner.handover_manager
+        return handover_manager.hand_over(call.message, None)
 
     def _deliver(self, number):
         call = self.calls[number]
@@ -333,28 +335,30 @@
 
 def forget_given(monkeypatch):
     """Take up again what was handed over."""
-    original = handover.HandoverDesk.find_epoch
+    original = handover.HandoverManager.get_serving_epoch
 
     def find(self, row):
-        self.given_epoch_by_id.clear()
+        self.released_epoch_by_id.clear()
         return original(self, row)
 
-    monkeypatch.setattr(handover.HandoverDesk, "find_epoch", find)
+    monkeypatch.setattr(handover.HandoverManager, "get_serving_epoch", find)
 
 
 def ask_nobody(monkeypatch):
     """Start under a grant while the owner before still serves."""
-    original = handover.HandoverDesk.find_epoch
+    original = handover.HandoverManager.get_serving_epoch
     monkeypatch.setattr(
-        handover.HandoverDesk,
-        "find_epoch",
+        handover.HandoverManager,
+        "get_serving_epoch",
         lambda self, row: original(self, row._replace(previous="")),
     )
 
 
 def keep_serving(monkeypatch):
     """Go on serving after the handover."""
-    monkeypatch.setattr(owner_module.Owner, "pass_on", lambda self, *rest: 0)
+    monkeypatch.setattr(
+        owner_module.Owner, "release_to_successor", lambda self, *rest: 0
+    )
 
 
 @pytest.mark.parametrize(
--- a/features/sabotage_test.py
+++ b/features/sabotage_test.py
@@ -12,11 +12,11 @@
 from chervilspindle.control import storage
 from chervilspindle.query import commands
 from chervilspindle.query import directory
+from chervilspindle.query import endpoint_state
 from chervilspindle.query import entry
 from chervilspindle.query import gather
-from chervilspindle.query import owned
 from chervilspindle.query import owner
-from chervilspindle.query import running
+from chervilspindle.query import query_state
 from chervilspindle.query import session
 from chervilspindle.wire import messages
 from features import fakes
@@ -32,13 +32,13 @@
     def note_nothing(self, query, results, missing):
         query.plan = query.plan._replace(missing=())
 
-    monkeypatch.setattr(gather.Gatherer, "_note_answer", note_nothing)
-    original = running.Answer
+    monkeypatch.setattr(gather.Gatherer, "_record_answer", note_nothing)
+    original = query_state.Answer
 
     def build(request_id, snapshot, results, missing):
         return original(request_id, snapshot, results, ())
 
-    monkeypatch.setattr(running, "Answer", build)
+    monkeypatch.setattr(query_state, "Answer", build)
 
 
 def answer_another_caller(monkeypatch):
@@ -53,7 +53,7 @@
             for reply in message.parts:
                 shard = query.shard_by_send.get(reply.send)
                 if shard is not None:
-                    send = running.Send(reply.endpoint_id, 0, "", 0.0)
+                    send = query_state.Send(reply.endpoint_id, 0, "", 0.0)
                     shard.outstanding.setdefault(reply.send, send)
         original(self, message)
 
@@ -65,8 +65,8 @@
     """Say of every part that it was never dispatched."""
     original = owner.Owner.answer
 
-    def answer(self, owned, work, status, dispatched, *rest):
-        original(self, owned, work, status, status == "ok", *rest)
+    def answer(self, endpoint, work, status, dispatched, *rest):
+        original(self, endpoint, work, status, status == "ok", *rest)
 
     monkeypatch.setattr(owner.Owner, "answer", answer)
 
@@ -82,12 +82,12 @@
 
 def ignore_draining(monkeypatch):
     """Take a leaving endpoint for a ready one."""
-    original = entry.Entry.take_announcement
+    original = entry.Entry.handle_announcement
 
     def take(self, endpoint, in_use):
         original(self, endpoint._replace(state="ready"), in_use)
 
-    monkeypatch.setattr(entry.Entry, "take_announcement", take)
+    monkeypatch.setattr(entry.Entry, "handle_announcement", take)
 
 
 def drain_without_waiting(monkeypatch):
@@ -116,10 +116,12 @@
 def take_over_at_once(monkeypatch):
     """Use all slots of an endpoint that an earlier owner may still fill."""
 
-    def count_free(self, now):
+    def count_free_slots(self, now):
         return self.row.slots - len(self.running)
 
-    monkeypatch.setattr(owned.OwnedEndpoint, "count_free", count_free)
+    monkeypatch.setattr(
+        endpoint_state.OwnedEndpoint, "count_free_slots", count_free_slots
+    )
     monkeypatch.setattr(fakes, "SERVICE_S", 4.0)
 
 
