--- a/chervilspindle/core/timers.py
+++ b/chervilspindle/core/timers.py
@@ -56,7 +56,7 @@
             raise ValueError(f"timer {name} is subscribed already")
         self._schedule(Subscription(name, period_s, callback), period_s)
 
-    def hurry(self, name: str, delay_s: float):
+    def schedule_within(self, name: str, delay_s: float):
         """Run a subscriber no later than `delay_s` seconds from now.
 
         It goes on with its period after that. Subscribers whose work comes
--- a/chervilspindle/core/timers_test.py
+++ b/chervilspindle/core/timers_test.py
@@ -35,15 +35,15 @@
 
 def test_hurried_run_comes_early_and_the_period_goes_on(setting):
     setting.pass_time(0.2)
-    setting.service.hurry("s", 0.1)
-    setting.service.hurry("s", 0.5)
+    setting.service.schedule_within("s", 0.1)
+    setting.service.schedule_within("s", 0.5)
     setting.pass_time(1.5)
     assert setting.runs == pytest.approx([0.3, 1.3], abs=0.02)
 
 
 def test_hurry_never_puts_a_run_off(setting):
     setting.pass_time(0.9)
-    setting.service.hurry("s", 5.0)
+    setting.service.schedule_within("s", 5.0)
     setting.pass_time(0.2)
     assert setting.runs == pytest.approx([1.0], abs=0.02)
 
@@ -54,7 +54,7 @@
     def run():
         runs.append(setting.clock.seconds())
         if len(runs) < 3:
-            setting.service.hurry("t", 0.1)
+            setting.service.schedule_within("t", 0.1)
 
     setting.service.subscribe("t", 1.0, run)
     setting.pass_time(1.6)
@@ -72,6 +72,6 @@
 
 def test_cancelled_subscriber_is_not_hurried(setting):
     setting.service.cancel("s")
-    setting.service.hurry("s", 0.0)
+    setting.service.schedule_within("s", 0.0)
     setting.pass_time(2.0)
     assert setting.runs == []
--- a/chervilspindle/query/owner.py
+++ b/chervilspindle/query/owner.py
@@ -293,7 +293,7 @@
     def _schedule_tick(self):
         if not self.tick_scheduled:
             self.tick_scheduled = True
-            self.timers.hurry("owner", TICK_S)
+            self.timers.schedule_within("owner", TICK_S)
 
     def _serve_if_allowed(self, row, endpoint):
         if row is None or endpoint is None:
--- a/chervilspindle/query/session.py
+++ b/chervilspindle/query/session.py
@@ -172,7 +172,7 @@
 
     def _schedule_tick(self):
         delay_ms = max(0.0, self.next_heartbeat_ms - self.read_clock())
-        self.timers.hurry("session", delay_ms / 1000.0)
+        self.timers.schedule_within("session", delay_ms / 1000.0)
 
     def _tick(self):
         now = self.read_clock()
--- a/features/handover_model_test.py
+++ b/features/handover_model_test.py
@@ -46,7 +46,7 @@
     def subscribe(self, name, period_s, callback):
         """Subscribe nothing: periodic work plays no part here."""
 
-    def hurry(self, name, delay_s):
+    def schedule_within(self, name, delay_s):
         """Hurry nothing."""
 
     def call_later(self, delay_s, callback, *args):
