--- a/bench/data_path_cost.py
+++ b/bench/data_path_cost.py
@@ -139,7 +139,7 @@
     child.stdout.readline()
     loop = uvloop.new_event_loop()
     entry = build_entry(loop, addresses)
-    loops.settle_memory()
+    loops.freeze_heap()
     profiler = cProfile.Profile()
     try:
         if profile:
--- a/chervilspindle/core/loops.py
+++ b/chervilspindle/core/loops.py
@@ -81,7 +81,7 @@
     return reactor, loop
 
 
-def settle_memory():
+def freeze_heap():
     """Leave what is held now out of later collections of garbage.
 
     A full collection walks all modules and tables, which holds the loop for
--- a/chervilspindle/routing/process.py
+++ b/chervilspindle/routing/process.py
@@ -321,7 +321,7 @@
             table.drop(endpoint_id, "forgotten")
         if delta.full:
             table.retain({e.endpoint_id for e in delta.endpoints})
-            loops.settle_memory()
+            loops.freeze_heap()
         if delta.document is not None and delta.document.version >= 0:
             self._apply_document(delta.document)
 
@@ -513,7 +513,7 @@
         starting = defer.Deferred.fromFuture(loop.create_task(process.start()))
         starting.addErrback(on_start_failed)
         process.timers.subscribe("settings", SETTINGS_CHECK_INTERVAL_S, reload)
-        loops.settle_memory()
+        loops.freeze_heap()
 
     loop.add_signal_handler(signal.SIGTERM, process.stop)
     loop.add_signal_handler(signal.SIGINT, process.stop)
