--- a/chervilspindle/core/rows.py
+++ b/chervilspindle/core/rows.py
@@ -1,4 +1,4 @@
-"""Rows of the tables that control replicates and entries read.
+"""Rows of the tables that the control group replicates and entries read.
 
 All rows are immutable named tuples, so that a table can be shared between
 the replicated state, a snapshot on disk and a reply on the wire.
@@ -6,12 +6,12 @@
 
 import typing
 
-FINAL_SEQUENCE = 1 << 62  # of an endpoint that has left, after all others
-KEY_SPACE = 65536  # hash slots, shard ranges are [low, high) in it
+FINAL_SEQUENCE = 1 << 62  # sequence of a departed endpoint, above all others
+KEY_SPACE = 65536  # hash slots; shard ranges [low, high) lie within it
 
 
 class Plan(typing.NamedTuple):
-    """What a customer plan may use.
+    """Permissions and limits of a customer plan.
 
     Parameters
     ----------
@@ -19,11 +19,12 @@
     services : tuple of str
         Shell-style patterns of service names.
     share : float
-        Weight of each customer of the plan in slot time, in (0, 1].
+        Fair-share weight of each customer of the plan, by slot time,
+        in (0, 1].
     priorities : tuple of str
-        Names of priorities, the most urgent first.
+        Names of priorities, most urgent first.
     rate : float
-        Requests a second that each customer may send; 0 for no limit.
+        Maximum requests per second for each customer; 0 for no limit.
     """
 
     name: str
@@ -34,7 +35,7 @@
 
 
 class Customer(typing.NamedTuple):
-    """One customer; its bearer token is kept only as a salted digest."""
+    """One customer; only a salted digest of its bearer token is stored."""
 
     name: str
     plan: str
@@ -43,7 +44,7 @@
 
 
 class Lists(typing.NamedTuple):
-    """The operators' two lists at one revision."""
+    """The operators' customer and plan lists at one revision."""
 
     revision: int
     customers_by_name: dict[str, Customer]
@@ -51,7 +52,7 @@
 
 
 class Holding(typing.NamedTuple):
-    """A shard range [low, high) that an endpoint holds in one snapshot."""
+    """A shard range [low, high) that an endpoint serves from one snapshot."""
 
     snapshot: int
     low: int
@@ -59,16 +60,16 @@
 
 
 class Endpoint(typing.NamedTuple):
-    """One endpoint as it last announced itself.
+    """The latest announcement of an endpoint.
 
     Parameters
     ----------
     endpoint_id, service, address, zone : str
         `address` is ``IP:PORT`` of its HTTP server.
     slots : int
-        Requests that it runs at once.
+        Number of requests that it runs concurrently.
     connections : int
-        Connections that it accepts.
+        Number of connections that it accepts.
     state : str
         ``warming``, ``ready``, ``draining``, ``lost`` or ``gone``.
     holdings : tuple of Holding
@@ -91,10 +92,10 @@
 
 
 class Vm(typing.NamedTuple):
-    """One process of the entry role on a VM.
+    """One process with the entry role on a VM.
 
-    `session` is ``VM_ID@INCARNATION``: leases are granted to it, so that a
-    restarted process never inherits what its predecessor may still hold.
+    Leases are granted to `session`, which is ``VM_ID@INCARNATION``, so that
+    a restarted process never inherits leases its predecessor may still hold.
     """
 
     session: str
@@ -106,11 +107,12 @@
 
 
 class Ownership(typing.NamedTuple):
-    """Which session alone may send work to an endpoint, and since which epoch.
+    """Exclusive owner of an endpoint, with the epoch of its ownership.
 
-    While `previous` is not empty, that session still serves the endpoint
-    under the epoch before, until it hands it over to `session` or loses its
-    lease. An empty `session` means that nobody may send it work.
+    Only the owning session may send requests to the endpoint. While
+    `previous` is not empty, that session still serves the endpoint under the
+    preceding epoch, until it hands the endpoint over to `session` or loses
+    its lease. If `session` is empty, no session may send requests to it.
     """
 
     endpoint_id: str
@@ -120,7 +122,7 @@
 
 
 class Claim(typing.NamedTuple):
-    """The right to run one non-idempotent request, by customer and key.
+    """Permission to run one non-idempotent request, by customer and key.
 
     Parameters
     ----------
@@ -133,9 +135,9 @@
     outcome : str
         ``claimed``, ``done`` or ``failed``.
     value : bytes
-        JSON of the recorded answer.
+        Recorded answer as JSON.
     created_ms : int
-        Wall time of the claim, for expiry.
+        Wall-clock time of the claim, used to expire it.
     """
 
     claim_id: str
@@ -147,7 +149,7 @@
 
 
 class StoredDocument(typing.NamedTuple):
-    """A routing document as an operator sent it; version -1 is none."""
+    """A routing document as an operator sent it; version -1 means none."""
 
     version: int
     data: bytes
@@ -156,12 +158,12 @@
 NO_DOCUMENT = StoredDocument(-1, b"")
 
 
-def is_newer(candidate: Endpoint, known: Endpoint) -> bool:
-    """Tell whether an announcement is later than the known one."""
+def is_newer(candidate: Endpoint, stored: Endpoint) -> bool:
+    """Return whether an announcement is later than the stored one."""
     candidate_order = (candidate.incarnation, candidate.sequence)
-    return candidate_order > (known.incarnation, known.sequence)
+    return candidate_order > (stored.incarnation, stored.sequence)
 
 
-def is_changed(candidate: Endpoint, known: Endpoint) -> bool:
-    """Tell whether two announcements differ in more than their number."""
-    return candidate._replace(sequence=0) != known._replace(sequence=0)
+def is_changed(candidate: Endpoint, stored: Endpoint) -> bool:
+    """Return whether two announcements differ beyond their sequence."""
+    return candidate._replace(sequence=0) != stored._replace(sequence=0)
