--- a/chervilspindle/core/errors.py
+++ b/chervilspindle/core/errors.py
@@ -1,7 +1,7 @@
-"""The closed list of error kinds and the answer that each one gets.
+"""The closed list of error kinds and the HTTP answer to each.
 
-Callers decide from an answer whether a request may be sent again, so the
-mapping lives in one table: no other module picks a status code.
+Callers decide from the answer whether a request may be retried, so the
+mapping is kept in one table and no other module chooses status codes.
 """
 
 import enum
@@ -9,7 +9,7 @@
 
 
 class ErrorKind(enum.Enum):
-    """Every reason for which a request or a shard gets no result."""
+    """All reasons for which a request or a shard has no result."""
 
     MALFORMED = "malformed"
     TOO_LARGE = "too_large"
@@ -39,19 +39,19 @@
 
 
 class Answer(typing.NamedTuple):
-    """How an error kind is answered.
+    """HTTP answer to an error kind.
 
     Parameters
     ----------
     status : int
         HTTP status code.
     not_run : bool
-        Whether the kind by itself proves that nothing was executed.
+        Whether the kind alone proves that nothing was executed.
     retry : bool
         Whether the same request may succeed later, so that the answer
         carries a Retry-After header.
     title : str
-        Short summary for people.
+        Short human-readable summary.
     """
 
     status: int
@@ -92,27 +92,28 @@
 
 
 def collect_values(*kinds: ErrorKind) -> frozenset[str]:
-    """Return the kinds as the words that messages carry."""
+    """Return the wire values of error kinds."""
     return frozenset(kind.value for kind in kinds)
 
 
 class Problem(typing.NamedTuple):
-    """One error as data, in the shape of RFC 9457 problem details.
+    """One error, with the content of RFC 9457 problem details.
 
     Parameters
     ----------
     kind : ErrorKind
-        Entry of the closed list.
+        Kind of the error.
     detail : str
-        What went wrong, with the place in the input where there is one.
+        What went wrong, with the position in the input if there is one.
     not_run : bool
         True only if nothing was executed for the request.
     retry_after_ms : int
-        When to come back, in milliseconds; 0 for no advice.
+        Delay before a retry, in milliseconds; 0 for no advice.
     request_id : str
-        Identifier of the request, empty if none was given yet.
+        Identifier of the request; empty if none is assigned yet.
     source : str
-        Place of the mistake, such as ``customers[2].plan``.
+        Position of the error in the input, such as
+        ``customers[2].plan``.
     """
 
     kind: ErrorKind
@@ -124,7 +125,7 @@
 
 
 class ProblemError(Exception):
-    """Carries a `Problem` through code that reports by exceptions."""
+    """Exception that carries a `Problem`."""
 
     def __init__(self, problem: Problem):
         super().__init__(f"{problem.kind.value}: {problem.detail}")
@@ -140,10 +141,10 @@
     request_id: str = "",
     source: str = "",
 ) -> Problem:
-    """Build a problem with the defaults of the kind's table row.
+    """Build a problem, with defaults from `ANSWER_BY_KIND`.
 
-    A problem is marked as not run only if the table or the caller says so;
-    kinds that may be retried always get a time to come back.
+    `not_run` is true only if the table or the caller sets it. Kinds that may
+    be retried always get a retry delay.
     """
     answer = ANSWER_BY_KIND[kind]
     if not_run is None:
@@ -154,7 +155,7 @@
 
 
 def build_error(kind: ErrorKind, detail: str, **fields) -> ProblemError:
-    """Build an exception for `build_problem` of the same arguments."""
+    """Build an exception that carries the problem of these arguments."""
     return ProblemError(build_problem(kind, detail, **fields))
 
 
