--- a/chervilspindle/core/timers.py
+++ b/chervilspindle/core/timers.py
@@ -1,7 +1,7 @@
-"""Timer service: the one place where parts ask to be run periodically.
+"""Timer service that runs all periodic and delayed work of a process.
 
-Parts subscribe with a period instead of calling the reactor, so that tests
-drive the whole system with a fake clock and shutdown stops every timer.
+Components subscribe with a period instead of calling the reactor, so that
+tests drive the whole system with a fake clock and shutdown stops every timer.
 """
 
 from collections import abc
@@ -20,18 +20,19 @@
     callback: abc.Callable[[], None]
 
 
-class Running(typing.NamedTuple):
-    """A subscriber's next run: when it is due, and its call on the clock."""
+class ScheduledRun(typing.NamedTuple):
+    """The next run of a subscriber: its due time and pending delayed call."""
 
     subscription: Subscription
     due_s: float
-    delayed: object
+    delayed_call: object
 
 
 def read_monotonic_ms() -> float:
-    """Return milliseconds of a clock that counts suspended time too.
+    """Return a monotonic time in milliseconds that includes suspended time.
 
-    Leases are judged by it, so it has to advance while a VM is paused.
+    Lease expiry is checked against this clock, so it must advance while a VM
+    is paused.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME) * 1000.0
 
@@ -46,41 +47,42 @@
 
     def __init__(self, clock):
         self.clock = clock
-        self.running_by_name = {}
+        self.scheduled_by_name = {}
 
     def subscribe(
         self, name: str, period_s: float, callback: abc.Callable[[], None]
     ):
         """Run `callback` every `period_s` seconds until cancelled."""
-        if name in self.running_by_name:
-            raise ValueError(f"timer {name} is subscribed already")
+        if name in self.scheduled_by_name:
+            raise ValueError(f"timer {name} is already subscribed")
         self._schedule(Subscription(name, period_s, callback), period_s)
 
     def schedule_within(self, name: str, delay_s: float):
         """Run a subscriber no later than `delay_s` seconds from now.
 
-        It goes on with its period after that. Subscribers whose work comes
-        and goes wake up for it and sleep meanwhile.
+        The run is never postponed, and later runs follow at the subscriber's
+        period. Subscribers with intermittent work stay idle until they are
+        scheduled by this method. Unknown names are ignored.
         """
-        running = self.running_by_name.get(name)
-        if running is None:
+        scheduled = self.scheduled_by_name.get(name)
+        if scheduled is None:
             return
         due = self.clock.seconds() + max(0.0, delay_s)
-        if running.due_s <= due and running.delayed.active():
+        if scheduled.due_s <= due and scheduled.delayed_call.active():
             return
-        if running.delayed.active():
-            running.delayed.cancel()
-        self._schedule(running.subscription, max(0.0, delay_s))
+        if scheduled.delayed_call.active():
+            scheduled.delayed_call.cancel()
+        self._schedule(scheduled.subscription, max(0.0, delay_s))
 
     def cancel(self, name: str):
-        """Stop one subscriber; an unknown name is ignored."""
-        running = self.running_by_name.pop(name, None)
-        if running is not None and running.delayed.active():
-            running.delayed.cancel()
+        """Cancel one subscription; unknown names are ignored."""
+        scheduled = self.scheduled_by_name.pop(name, None)
+        if scheduled is not None and scheduled.delayed_call.active():
+            scheduled.delayed_call.cancel()
 
     def cancel_all(self):
-        """Stop every subscriber."""
-        for name in list(self.running_by_name):
+        """Cancel all subscriptions."""
+        for name in list(self.scheduled_by_name):
             self.cancel(name)
 
     def call_later(
@@ -90,7 +92,7 @@
         return self.clock.callLater(max(0.0, delay_s), callback, *args)
 
     def _schedule(self, subscription: Subscription, delay_s: float):
-        self.running_by_name[subscription.name] = Running(
+        self.scheduled_by_name[subscription.name] = ScheduledRun(
             subscription,
             self.clock.seconds() + delay_s,
             self.clock.callLater(delay_s, self._run, subscription),
--- a/chervilspindle/core/timers_test.py
+++ b/chervilspindle/core/timers_test.py
@@ -6,8 +6,8 @@
 from chervilspindle.core import timers
 
 
-class Setting:
-    """A service with one subscriber that notes when it ran."""
+class TimerHarness:
+    """Timer service with one subscriber that records its run times."""
 
     def __init__(self):
         self.clock = task.Clock()
@@ -18,60 +18,60 @@
     def run(self):
         self.runs.append(round(self.clock.seconds(), 3))
 
-    def pass_time(self, seconds):
+    def advance_clock(self, seconds):
         for _ in range(round(seconds * 100)):
             self.clock.advance(0.01)
 
 
-@pytest.fixture(name="setting")
-def build_setting():
-    return Setting()
+@pytest.fixture(name="harness")
+def build_harness():
+    return TimerHarness()
 
 
-def test_subscriber_runs_each_period(setting):
-    setting.pass_time(3.5)
-    assert setting.runs == pytest.approx([1.0, 2.0, 3.0], abs=0.02)
+def test_subscriber_runs_each_period(harness):
+    harness.advance_clock(3.5)
+    assert harness.runs == pytest.approx([1.0, 2.0, 3.0], abs=0.02)
 
 
-def test_hurried_run_comes_early_and_the_period_goes_on(setting):
-    setting.pass_time(0.2)
-    setting.service.schedule_within("s", 0.1)
-    setting.service.schedule_within("s", 0.5)
-    setting.pass_time(1.5)
-    assert setting.runs == pytest.approx([0.3, 1.3], abs=0.02)
+def test_schedule_within_runs_early_and_keeps_the_period(harness):
+    harness.advance_clock(0.2)
+    harness.service.schedule_within("s", 0.1)
+    harness.service.schedule_within("s", 0.5)
+    harness.advance_clock(1.5)
+    assert harness.runs == pytest.approx([0.3, 1.3], abs=0.02)
 
 
-def test_hurry_never_puts_a_run_off(setting):
-    setting.pass_time(0.9)
-    setting.service.schedule_within("s", 5.0)
-    setting.pass_time(0.2)
-    assert setting.runs == pytest.approx([1.0], abs=0.02)
+def test_schedule_within_never_postpones_a_run(harness):
+    harness.advance_clock(0.9)
+    harness.service.schedule_within("s", 5.0)
+    harness.advance_clock(0.2)
+    assert harness.runs == pytest.approx([1.0], abs=0.02)
 
 
-def test_subscriber_may_hurry_itself(setting):
+def test_subscriber_may_schedule_itself(harness):
     runs = []
 
     def run():
-        runs.append(setting.clock.seconds())
+        runs.append(harness.clock.seconds())
         if len(runs) < 3:
-            setting.service.schedule_within("t", 0.1)
+            harness.service.schedule_within("t", 0.1)
 
-    setting.service.subscribe("t", 1.0, run)
-    setting.pass_time(1.6)
+    harness.service.subscribe("t", 1.0, run)
+    harness.advance_clock(1.6)
     assert runs == pytest.approx([1.0, 1.1, 1.2], abs=0.05)
 
 
-def test_failing_subscriber_goes_on(setting):
+def test_failing_subscriber_does_not_stop_others(harness):
     def fail():
         raise ValueError("broken")
 
-    setting.service.subscribe("f", 0.5, fail)
-    setting.pass_time(1.2)
-    assert setting.runs == pytest.approx([1.0], abs=0.02)
+    harness.service.subscribe("f", 0.5, fail)
+    harness.advance_clock(1.2)
+    assert harness.runs == pytest.approx([1.0], abs=0.02)
 
 
-def test_cancelled_subscriber_is_not_hurried(setting):
-    setting.service.cancel("s")
-    setting.service.schedule_within("s", 0.0)
-    setting.pass_time(2.0)
-    assert setting.runs == []
+def test_schedule_within_ignores_cancelled_subscriber(harness):
+    harness.service.cancel("s")
+    harness.service.schedule_within("s", 0.0)
+    harness.advance_clock(2.0)
+    assert harness.runs == []
