--- a/chervilspindle/core/lifecycle.py
+++ b/chervilspindle/core/lifecycle.py
@@ -1,7 +1,7 @@
-"""Lifecycle of an entry process, as a state machine.
+"""State machine for the lifecycle of an entry process.
 
-``starting`` until the first lease, ``ready`` while callers are admitted,
-``draining`` while requests in flight end, then ``stopped``.
+The state is ``starting`` until the first lease, ``ready`` while requests are
+admitted, ``draining`` while requests in flight finish, then ``stopped``.
 """
 
 import typing
@@ -10,23 +10,23 @@
 
 
 class Lifecycle(typing.Protocol):
-    """Inputs of the machine."""
+    """Inputs of the state machine."""
 
     def lease_gained(self) -> None:
-        """Note the first lease."""
+        """Enter ``ready`` if the process is starting."""
 
     def drain(self) -> None:
-        """Stop admitting."""
+        """Stop admitting requests."""
 
     def drained(self) -> None:
-        """Note that nothing is in flight any more."""
+        """Enter ``stopped`` if the process is draining."""
 
     def get_state(self) -> str:
-        """Return the name of the present state."""
+        """Return the name of the current state."""
 
 
 class Core:
-    """Shared data of the machine; it has none."""
+    """Shared data of the state machine, which has none."""
 
 
 def _build():
@@ -65,5 +65,5 @@
 
 
 def build_lifecycle() -> Lifecycle:
-    """Build a machine in the state ``starting``."""
+    """Build a state machine in the state ``starting``."""
     return _MACHINE(Core())
