--- a/chervilspindle/core/log_output.py
+++ b/chervilspindle/core/log_output.py
@@ -1,8 +1,8 @@
-"""Log output that never blocks the loop and is bounded in volume.
+"""Log output that never blocks the event loop and is bounded in volume.
 
-Lines that the reader of standard output does not take are kept up to a
-limit and then dropped; each kind of decision has a rate of its own. What
-was dropped is counted and reported in the next line that gets through.
+Lines that the reader of standard output has not read are buffered up to a
+limit and then dropped. Each kind of decision has a rate limit of its own.
+Dropped lines are counted, and the next line written reports the count.
 """
 
 import collections
@@ -12,7 +12,7 @@
 import time
 
 BUFFER_BYTES = 256 * 1024
-LINES_PER_S = 40.0  # of one kind
+LINES_PER_S = 40.0  # per kind of line
 BURST_LINES = 200.0
 FAILURE_STATUS = 400
 
@@ -33,7 +33,7 @@
         os.set_blocking(descriptor, False)
 
     def write(self, text: str):
-        """Write a line, or keep it, or drop it if too much is kept."""
+        """Write or buffer a line; drop it if the buffer is full."""
         data = text.encode()
         if self.buffered_bytes + len(data) > BUFFER_BYTES:
             self.dropped += 1
@@ -43,7 +43,7 @@
         self.flush()
 
     def flush(self):
-        """Write what is kept, as far as the reader takes it."""
+        """Write buffered lines until the descriptor would block."""
         while self.buffered:
             data = self.buffered[0]
             try:
@@ -51,7 +51,7 @@
             except BlockingIOError:
                 return
             except OSError:
-                # Nobody reads any more; there is nowhere to report it.
+                # The reader has gone, so there is nowhere to report it.
                 self.dropped += len(self.buffered)
                 self.buffered.clear()
                 self.buffered_bytes = 0
@@ -63,24 +63,24 @@
             self.buffered.popleft()
         if self.dropped:
             dropped, self.dropped = self.dropped, 0
-            self.write(_build_notice("unread", dropped))
+            self.write(_build_drop_report("unread", dropped))
 
 
 class VolumeLimiter(logging.Filter):
-    """Token bucket for each kind of line.
+    """Log filter with a token bucket for each kind of line.
 
-    Failed requests are a kind of their own, so that good ones never crowd
-    them out.
+    Failed requests have a separate bucket, so that lines of successful
+    requests never displace them. Errors are not limited.
     """
 
     def __init__(self, read_clock=time.monotonic):
         super().__init__()
         self.read_clock = read_clock
-        # Mutable rows [tokens, time, dropped lines] by kind.
+        # Mutable [tokens, time of last refill, dropped lines] by kind.
         self.buckets = {}
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Tell whether a line is written."""
+        """Return whether a line is written."""
         if record.levelno >= logging.ERROR:
             return True
         now = self.read_clock()
@@ -88,8 +88,8 @@
         if getattr(record, "status", 0) >= FAILURE_STATUS:
             kind = f"{kind} failed"
         bucket = self.buckets.setdefault(kind, [BURST_LINES, now, 0])
-        earned = (now - bucket[1]) * LINES_PER_S
-        bucket[0] = min(BURST_LINES, bucket[0] + earned)
+        refill = (now - bucket[1]) * LINES_PER_S
+        bucket[0] = min(BURST_LINES, bucket[0] + refill)
         bucket[1] = now
         if bucket[0] < 1.0:
             bucket[2] += 1
@@ -101,7 +101,7 @@
         return True
 
 
-def _build_notice(reason, count):
+def _build_drop_report(reason, count):
     line = {
         "time": time.time(),
         "level": "warning",
--- a/chervilspindle/core/log_output_test.py
+++ b/chervilspindle/core/log_output_test.py
@@ -1,4 +1,4 @@
-"""Tests of log output that never blocks."""
+"""Tests of non-blocking and rate-limited log output."""
 
 import json
 import logging
@@ -13,7 +13,7 @@
     return record
 
 
-def test_a_pipe_that_nobody_reads_does_not_block_and_is_counted():
+def test_full_pipe_does_not_block_and_drops_are_counted():
     reader, writer = os.pipe()
     stream = log_output.NonBlockingStream(writer)
     for _ in range(5000):
@@ -35,7 +35,7 @@
     os.close(writer)
 
 
-def test_a_closed_pipe_is_survived():
+def test_write_to_closed_pipe_does_not_raise():
     reader, writer = os.pipe()
     os.close(reader)
     stream = log_output.NonBlockingStream(writer)
@@ -44,7 +44,7 @@
     os.close(writer)
 
 
-def test_good_requests_never_crowd_out_failed_ones():
+def test_successful_requests_do_not_displace_failed_ones():
     now = [0.0]
     limiter = log_output.VolumeLimiter(lambda: now[0])
     passed = sum(
--- a/chervilspindle/core/logs.py
+++ b/chervilspindle/core/logs.py
@@ -1,4 +1,4 @@
-"""JSON-lines logging, with one line for each routing or placement decision."""
+"""JSON-lines logging, with one line per routing or placement decision."""
 
 import json
 import logging
@@ -20,7 +20,7 @@
         self.vm_id = vm_id
 
     def format(self, record: logging.LogRecord) -> str:
-        """Return the line, without its newline."""
+        """Return the record as one JSON line without a newline."""
         line = {
             "time": round(record.created, 6),
             "level": record.levelname.lower(),
@@ -37,7 +37,7 @@
 
 
 def configure_logging(vm_id: str, level: str = "INFO", stream=None):
-    """Send all records of the process to `stream` as JSON lines."""
+    """Write all log records of the process to `stream` as JSON lines."""
     handler = logging.StreamHandler(stream or sys.stderr)
     handler.setFormatter(JsonFormatter(vm_id))
     root = logging.getLogger()
@@ -46,7 +46,7 @@
 
 
 def log_decision(decision: str, **fields):
-    """Write the line of one routing or placement decision."""
+    """Log one routing or placement decision with its fields."""
     if DECISION_LOGGER.isEnabledFor(logging.INFO):
         DECISION_LOGGER.info(decision, extra=fields)
 
