--- a/chervilspindle/core/loops.py
+++ b/chervilspindle/core/loops.py
@@ -1,7 +1,7 @@
-"""The process's one event loop: Twisted's reactor on uvloop.
+"""The single event loop of a process: Twisted's reactor on uvloop.
 
-Most parts use the reactor. The data path speaks asyncio protocols on the
-same loop, which cost less for each exchange.
+Most modules use the reactor. The data path uses asyncio protocols on the
+same loop because they cost less per exchange.
 """
 
 import asyncio
@@ -9,13 +9,13 @@
 
 import uvloop
 
-# Allocations between collections of young objects; at the default of 700 a
-# wide query starts several.
-COLLECT_AFTER = 20000
+# Allocations between collections of the young generation. With the default
+# of 700, a wide query triggers several collections.
+GC_YOUNG_THRESHOLD = 20000
 
 
 class LoopTimer:
-    """A pending call of `LoopClock`."""
+    """A delayed call made by `LoopClock.callLater`."""
 
     __slots__ = ("handle", "pending")
 
@@ -24,12 +24,12 @@
         self.pending = True
 
     def cancel(self):
-        """Cancel the call; does nothing if it has run."""
+        """Cancel the call; has no effect if it has run."""
         self.pending = False
         self.handle.cancel()
 
     def active(self) -> bool:
-        """Tell whether the call is still to come."""
+        """Return whether the call is still pending."""
         return self.pending
 
     def run(self, callback, args):
@@ -39,7 +39,7 @@
 
 
 class LoopClock:
-    """Clock over an asyncio loop, with the methods of `IReactorTime`.
+    """Clock of an asyncio loop, with methods of `IReactorTime`.
 
     Parameters
     ----------
@@ -54,7 +54,7 @@
         return self.loop.time()
 
     def callLater(self, delay, callback, *args) -> LoopTimer:
-        """Run `callback` after `delay` seconds."""
+        """Call `callback` after `delay` seconds."""
         timer = LoopTimer()
         timer.handle = self.loop.call_later(delay, timer.run, callback, args)
         return timer
@@ -71,8 +71,8 @@
     """
     loop = uvloop.new_event_loop()
     asyncio.set_event_loop(loop)
-    # Importing the module at the top would install a default reactor early
-    # in processes that never ask for this one.
+    # A module-level import would install the default reactor in processes
+    # that never call this function.
     from twisted.internet import asyncioreactor
 
     asyncioreactor.install(loop)
@@ -82,11 +82,11 @@
 
 
 def freeze_heap():
-    """Leave what is held now out of later collections of garbage.
+    """Exclude all current objects from later garbage collections.
 
-    A full collection walks all modules and tables, which holds the loop for
-    tens of milliseconds on a part of a core.
+    A full collection traverses all modules and tables, which blocks the
+    event loop for tens of milliseconds on a fraction of a core.
     """
     gc.collect()
     gc.freeze()
-    gc.set_threshold(COLLECT_AFTER, 20, 20)
+    gc.set_threshold(GC_YOUNG_THRESHOLD, 20, 20)
