--- a/chervilspindle/core/__init__.py
+++ b/chervilspindle/core/__init__.py
@@ -1,1 +1,1 @@
-"""Plain data types and small services that every other package uses."""
+"""Data types and small services that all other packages use."""
--- a/chervilspindle/core/metrics.py
+++ b/chervilspindle/core/metrics.py
@@ -1,7 +1,7 @@
-"""Counters and gauges of one process, in Prometheus form.
+"""Prometheus metrics of one process.
 
-They answer the three questions of the users: tail latency, coverage, and
-extra load on endpoints; and they show how control stands.
+They cover tail latency, coverage, extra load on endpoints, and the state of
+the control group.
 """
 
 import aioprometheus
@@ -69,7 +69,7 @@
         self.latency.observe({"kind": kind}, seconds)
 
     def count_shards(self, result, count):
-        """Count shards of answers by their result."""
+        """Count the shards of answers by result."""
         if count:
             self.shards.add({"result": result}, count)
 
@@ -79,35 +79,35 @@
         self.dispatches.inc({"kind": kind})
 
     def count_extra(self, cause, count=1):
-        """Count sub-requests beyond the first of a shard."""
+        """Count sub-requests beyond the first for a shard."""
         self.extra.add({"cause": cause}, count)
 
     def count_refused_hedge(self):
-        """Count a hedge for which the budget had no room."""
+        """Count a hedge that the hedge budget did not allow."""
         self.endpoint_events.inc({"event": "hedge-refused"})
 
     def count_wasted(self):
-        """Count a request that ran although its answer was not needed."""
+        """Count a request that ran although its result was not needed."""
         self.extra.inc({"cause": "wasted"})
 
     def count_probe(self):
-        """Count a question about a late request."""
+        """Count a probe sent for a late request."""
         self.extra.inc({"cause": "probe"})
 
     def count_shed(self):
-        """Count a request that an endpoint refused."""
+        """Count a request that an endpoint shed."""
         self.endpoint_events.inc({"event": "shed"})
 
     def count_silent(self):
-        """Count a connection that was found silent."""
+        """Count a connection that was detected as silent."""
         self.endpoint_events.inc({"event": "silent"})
 
     def set_state(self, name, value):
-        """Set one gauge."""
+        """Set the state gauge called `name`."""
         self.gauges.set({"name": name}, value)
 
     def render(self, accept):
-        """Render all metrics.
+        """Render all metrics in a format that `accept` allows.
 
         Returns
         -------
