--- a/chervilspindle/config/settings.py
+++ b/chervilspindle/config/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one process: one loader and one list of validations."""
+"""Loads and validates the settings of a process."""
 
 import ipaddress
 import logging
@@ -19,7 +19,7 @@
 
 
 class TokenRow(typing.NamedTuple):
-    """Holder of a token, which is kept only as a salted digest."""
+    """Holder of a token, with the salted digest of the token."""
 
     name: str
     token_salt: str
@@ -27,7 +27,7 @@
 
 
 class Settings(typing.NamedTuple):
-    """Settings of one process; see `options.OPTIONS` for meanings."""
+    """Settings of one process; `options.OPTIONS` describes each of them."""
 
     vm_id: str
     zone: str
@@ -53,7 +53,7 @@
     Returns
     -------
     settings, errors : Settings or None, list of ConfigError
-        Settings are None if there is any mistake.
+        Settings are None if there are errors.
     """
     document, errors = jsonc.load_file(path)
     if errors:
@@ -62,7 +62,10 @@
 
 
 def build_settings(document, source: str):
-    """Validate a parsed document and build the settings from it."""
+    """Validate a parsed document and build settings from it.
+
+    The return value is that of `load_settings`.
+    """
     if not isinstance(document, dict):
         error = jsonc.ConfigError(source, "document", "must be an object")
         return None, [error]
@@ -80,7 +83,7 @@
 
 
 def validate_names(document):
-    """Report settings that no table row declares, and missing ones."""
+    """Report unknown settings and missing required settings."""
     for name in document:
         if name not in options.OPTION_BY_NAME:
             yield name, "unknown setting"
@@ -106,26 +109,26 @@
 
 
 def validate_roles(document):
-    """Report unknown roles and settings that a role needs."""
+    """Report unknown roles and missing settings that a role requires."""
     roles = document.get("roles", [])
     if not roles:
-        yield "roles", "names no role"
+        yield "roles", "must list at least one role"
     for index, role in enumerate(roles):
         if role not in ("entry", "control"):
             yield f"roles[{index}]", f"unknown role {role!r}"
     if "entry" in roles and not document.get("http_address"):
-        yield "http_address", "missing, the entry role needs it"
+        yield "http_address", "missing, required by the entry role"
     if "control" in roles:
         for name in ("raft_address", "data_folder"):
             if not document.get(name):
-                yield name, "missing, the control role needs it"
+                yield name, "missing, required by the control role"
         names = [row.get("vm_id") for row in document.get("control_vms", [])]
         if document.get("vm_id") not in names:
             yield "control_vms", "does not list this VM"
 
 
 def validate_addresses(document):
-    """Report addresses that are not an IP number and a port."""
+    """Report addresses that are not an IP address and a port."""
     for name in ("http_address", "peer_address", "raft_address"):
         if document.get(name):
             yield from _validate_address(name, document[name])
@@ -136,14 +139,14 @@
 
 
 def validate_control_vms(document):
-    """Report an even or empty group and VMs that are listed twice."""
+    """Report an even number of control VMs and duplicate VMs."""
     rows = document.get("control_vms", [])
     if len(rows) % 2 == 0:
         yield "control_vms", "must list an odd number of VMs"
     seen = set()
     for index, row in enumerate(rows):
         if row["vm_id"] in seen:
-            yield f"control_vms[{index}].vm_id", "listed twice"
+            yield f"control_vms[{index}].vm_id", "duplicate VM"
         seen.add(row["vm_id"])
 
 
@@ -154,9 +157,11 @@
         if not value or any(c in value for c in "#@/ "):
             yield name, "must be a name without '#', '@', '/' or spaces"
     if len(document.get("shared_key", "")) < SHARED_KEY_MIN_CHARACTERS:
-        yield "shared_key", f"needs {SHARED_KEY_MIN_CHARACTERS} characters"
+        yield "shared_key", (
+            f"must have at least {SHARED_KEY_MIN_CHARACTERS} characters"
+        )
     if len(document.get("shared_key", "")) > 64:
-        yield "shared_key", "has more than 64 characters"
+        yield "shared_key", "must have at most 64 characters"
     level = document.get("log_level", "INFO").upper()
     if level not in logging.getLevelNamesMapping():
         yield "log_level", f"unknown level {level!r}"
--- a/chervilspindle/config/settings_test.py
+++ b/chervilspindle/config/settings_test.py
@@ -1,4 +1,4 @@
-"""Tests of settings: every mistake is named with its place."""
+"""Tests that each error in the settings is reported with its position."""
 
 import pytest
 
@@ -16,11 +16,11 @@
 
 
 def list_places(document):
-    _, mistakes = settings.build_settings(document, "file")
-    return {m.place for m in mistakes}
+    _, errors = settings.build_settings(document, "file")
+    return {e.place for e in errors}
 
 
-def test_built_documents_are_correct(tmp_path):
+def test_generated_settings_are_valid(tmp_path):
     for document in build_document(tmp_path):
         assert list_places(document) == set()
 
@@ -44,12 +44,12 @@
         ({"control_vms": []}, "control_vms"),
     ),
 )
-def test_mistake_is_named(tmp_path, change, place):
+def test_error_is_reported_at_its_position(tmp_path, change, place):
     document, _ = build_document(tmp_path)
     assert place in list_places({**document, **change})
 
 
-def test_every_mistake_is_named_at_once(tmp_path):
+def test_all_errors_are_reported_together(tmp_path):
     document, _ = build_document(tmp_path)
     document.update({"roles": ["boss"], "shared_key": "x"})
     document["control_vms"] = document["control_vms"] * 2
@@ -57,22 +57,22 @@
     assert {"roles[0]", "shared_key", "control_vms"} <= places
 
 
-def test_missing_settings_are_named(tmp_path):
+def test_missing_settings_are_reported(tmp_path):
     required = {
         o.name for o in options.OPTIONS if o.default is options.REQUIRED
     }
     assert required <= list_places({})
 
 
-def test_syntax_error_names_the_line(tmp_path):
+def test_syntax_error_reports_its_line(tmp_path):
     path = tmp_path / "settings.json"
     path.write_text('{\n  // a comment\n  "vm_id": \n}')
-    _, mistakes = settings.load_settings(str(path))
-    assert mistakes[0].place.startswith("line ")
+    _, errors = settings.load_settings(str(path))
+    assert errors[0].place.startswith("line ")
     with pytest.raises(ExceptionGroup):
-        jsonc.raise_errors(mistakes)
+        jsonc.raise_errors(errors)
 
 
-def test_file_that_is_not_there(tmp_path):
-    _, mistakes = settings.load_settings(str(tmp_path / "none"))
-    assert mistakes[0].place == "file"
+def test_missing_file_is_reported(tmp_path):
+    _, errors = settings.load_settings(str(tmp_path / "none"))
+    assert errors[0].place == "file"
