--- a/chervilspindle/config/options.py
+++ b/chervilspindle/config/options.py
@@ -1,7 +1,7 @@
-"""The table that declares each setting of a process, with its meaning.
+"""Declarations of all settings of a process.
 
 The loader, the validation and the settings reference in docs/OPERATIONS.md
-all read this table.
+are all based on this table.
 """
 
 import typing
@@ -16,11 +16,11 @@
     kind : type
         JSON type: str, int, float, list or dict.
     default : object
-        None for a setting that must be given.
+        `REQUIRED` for a setting without a default.
     unit : str
-        Unit or form of the value.
+        Unit or format of the value.
     meaning : str
-        One sentence for operators.
+        Description for operators, one sentence.
     """
 
     name: str
--- a/chervilspindle/config/options_test.py
+++ b/chervilspindle/config/options_test.py
@@ -1,4 +1,4 @@
-"""The settings reference in the operators' page is the printed one."""
+"""Tests that the settings reference in the documentation is current."""
 
 import pathlib
 
