--- a/chervilspindle/config/lists.py
+++ b/chervilspindle/config/lists.py
@@ -1,4 +1,4 @@
-"""The operators' two lists: customers with plans, and what plans may use."""
+"""Loads and validates the operators' lists of customers and plans."""
 
 import fnmatch
 import hashlib
@@ -14,7 +14,7 @@
 
 
 class ParsedLists(typing.NamedTuple):
-    """Rows of both lists and the digest of their content."""
+    """Rows of both lists and a digest of the document."""
 
     customers: tuple[rows.Customer, ...]
     plans: tuple[rows.Plan, ...]
@@ -22,7 +22,7 @@
 
 
 def load_lists(path: str):
-    """Load and validate a file of both lists.
+    """Load and validate a file that contains both lists.
 
     Returns
     -------
@@ -35,15 +35,18 @@
 
 
 def build_lists(document, source: str):
-    """Validate a parsed document and build the rows from it."""
+    """Validate a parsed document and build the rows from it.
+
+    The return value is that of `load_lists`.
+    """
     errors = []
     for validate in VALIDATIONS:
-        found = [
+        new_errors = [
             jsonc.ConfigError(source, place, detail)
             for place, detail in validate(document)
         ]
-        errors.extend(found)
-        if found and validate is validate_shape:
+        errors.extend(new_errors)
+        if new_errors and validate is validate_shape:
             return None, errors
     if errors:
         return None, errors
@@ -53,9 +56,9 @@
 
 
 def describe_lists(lists: rows.Lists) -> dict:
-    """Return the lists as the JSON document that operators edit.
+    """Return the lists in the form of the JSON document that operators edit.
 
-    Rows are sorted by name, so that all VMs show the same document.
+    Rows are sorted by name, so that all VMs return the same document.
     """
     return {
         "customers": [
@@ -73,7 +76,7 @@
 
 
 def validate_shape(document):
-    """Report a document whose rows don't have the declared fields."""
+    """Report unknown or missing lists and fields, and wrong types."""
     if not isinstance(document, dict):
         yield "document", "must be an object"
         return
@@ -98,7 +101,7 @@
 
 
 def validate_names(document):
-    """Report empty names and names that stand twice in a list."""
+    """Report invalid names and duplicate names within a list."""
     for list_name in ("customers", "plans"):
         seen = set()
         for index, row in enumerate(document[list_name]):
@@ -106,12 +109,12 @@
             if not row["name"] or any(c in row["name"] for c in "./ "):
                 yield place, "must be a name without '.', '/' or spaces"
             if row["name"] in seen:
-                yield place, f"{row['name']!r} stands twice"
+                yield place, f"duplicate name {row['name']!r}"
             seen.add(row["name"])
 
 
 def validate_plans(document):
-    """Report shares out of range and empty or doubled entries."""
+    """Report numbers out of range and empty or duplicate list items."""
     for index, row in enumerate(document["plans"]):
         place = f"plans[{index}]"
         if not 0 < row["share"] <= 1:
@@ -121,23 +124,23 @@
         for field in ("services", "priorities"):
             values = row[field]
             if not values:
-                yield f"{place}.{field}", "is empty"
+                yield f"{place}.{field}", "must not be empty"
             if any(not isinstance(v, str) or not v for v in values):
-                yield f"{place}.{field}", "must hold names"
+                yield f"{place}.{field}", "must contain only non-empty strings"
             elif len(set(values)) < len(values):
-                yield f"{place}.{field}", "names an entry twice"
+                yield f"{place}.{field}", "contains a duplicate"
 
 
 def validate_references(document):
-    """Report customers whose plan is not in the other list."""
+    """Report customers whose plan is not in the list of plans."""
     plans = {row["name"] for row in document["plans"]}
     for index, row in enumerate(document["customers"]):
         if row["plan"] not in plans:
-            yield f"customers[{index}].plan", f"no plan {row['plan']!r}"
+            yield f"customers[{index}].plan", f"unknown plan {row['plan']!r}"
 
 
 def validate_digests(document):
-    """Report token digests that are not of the form that `token` prints."""
+    """Report token digests that lack the format of `tokens.compute_digest`."""
     for index, row in enumerate(document["customers"]):
         digest = row["token_digest"]
         if len(digest) != 64 or set(digest) - set("0123456789abcdef"):
--- a/chervilspindle/config/lists_test.py
+++ b/chervilspindle/config/lists_test.py
@@ -1,4 +1,4 @@
-"""Tests of the operators' two lists."""
+"""Tests of the operators' lists of customers and plans, and of tokens."""
 
 import copy
 
@@ -16,8 +16,8 @@
 
 
 def list_places(document):
-    _, mistakes = lists.build_lists(document, "file")
-    return {m.place for m in mistakes}
+    _, errors = lists.build_lists(document, "file")
+    return {e.place for e in errors}
 
 
 def change(document, place, value):
@@ -30,12 +30,12 @@
 
 
 @pytest.mark.parametrize("profile", deployment.PROFILE_BY_NAME.values())
-def test_built_lists_are_correct(profile):
+def test_generated_lists_are_valid(profile):
     assert list_places(deployment.build_lists(profile, {})) == set()
 
 
 @pytest.mark.parametrize(
-    "place,value,named",
+    "place,value,expected_place",
     (
         (("customers", 1, "plan"), "gold", "customers[1].plan"),
         (("customers", 0, "name"), "", "customers[0].name"),
@@ -52,11 +52,13 @@
         (("extra",), [], "extra"),
     ),
 )
-def test_mistake_is_named(document, place, value, named):
-    assert named in list_places(change(document, place, value))
+def test_error_is_reported_at_its_position(
+    document, place, value, expected_place
+):
+    assert expected_place in list_places(change(document, place, value))
 
 
-def test_name_that_stands_twice(document):
+def test_duplicate_name_is_reported(document):
     document["customers"].append(document["customers"][0])
     place = f"customers[{len(document['customers']) - 1}].name"
     assert place in list_places(document)
@@ -64,18 +66,18 @@
 
 def test_described_lists_can_be_applied_again(document):
     parsed, _ = lists.build_lists(document, "file")
-    held = rows.Lists(
+    stored = rows.Lists(
         3,
         {c.name: c for c in parsed.customers},
         {p.name: p for p in parsed.plans},
     )
-    again, mistakes = lists.build_lists(lists.describe_lists(held), "file")
-    assert not mistakes
-    assert again.customers == tuple(sorted(parsed.customers))
-    assert again.plans == tuple(sorted(parsed.plans))
+    reloaded, errors = lists.build_lists(lists.describe_lists(stored), "file")
+    assert not errors
+    assert reloaded.customers == tuple(sorted(parsed.customers))
+    assert reloaded.plans == tuple(sorted(parsed.plans))
 
 
-def test_token_opens_its_row_alone():
+def test_token_matches_only_its_own_row():
     issued = tokens.create_token("a")
     row = rows.Customer("a", "p", issued.token_salt, issued.token_digest)
     table = {"a": row}
