--- a/chervilspindle/config/tokens.py
+++ b/chervilspindle/config/tokens.py
@@ -1,7 +1,7 @@
-"""Bearer tokens: made here, kept only as salted digests.
+"""Creates and verifies bearer tokens, stored only as salted digests.
 
-A token is ``NAME.SECRET`` with a random secret of 192 bits, so that a fast
-salted hash is enough and one table look-up finds the row to compare with.
+A token is ``NAME.SECRET``. The secret has 192 random bits, so a fast salted
+hash is sufficient. The name gives the row to compare with by one look-up.
 """
 
 import hashlib
@@ -16,7 +16,7 @@
 
 
 class NewToken(typing.NamedTuple):
-    """A token for its holder, and what goes into the list."""
+    """A token for its holder, with the salt and digest to store."""
 
     token: str
     token_salt: str
@@ -37,9 +37,9 @@
 
 
 def verify_token(token: str, row_by_name):
-    """Return the row that the token belongs to, None if there is none.
+    """Return the row to which the token belongs, or None.
 
-    Takes the same time whether the name or the secret is wrong.
+    An unknown name takes as long to reject as a wrong secret.
     """
     name = token.partition(".")[0]
     row = row_by_name.get(name)
