--- a/chervilspindle/config/__init__.py
+++ b/chervilspindle/config/__init__.py
@@ -1,1 +1,1 @@
-"""Settings of a process and the operators' two lists, with validation."""
+"""Process settings and the operators' lists, with validation."""
