--- a/chervilspindle/config/lists.py
+++ b/chervilspindle/config/lists.py
@@ -10,7 +10,7 @@
 
 MAX_CUSTOMERS = 100000
 MAX_PLANS = 10000
-MAX_RATE = 1000000  # requests a second
+MAX_REQUESTS_PER_S = 1000000
 
 
 class ParsedLists(typing.NamedTuple):
@@ -119,8 +119,8 @@
         place = f"plans[{index}]"
         if not 0 < row["share"] <= 1:
             yield f"{place}.share", "must be in (0, 1]"
-        if not 0 <= row.get("rate", 0) <= MAX_RATE:
-            yield f"{place}.rate", f"must be in 0..{MAX_RATE}"
+        if not 0 <= row.get("rate", 0) <= MAX_REQUESTS_PER_S:
+            yield f"{place}.rate", f"must be in 0..{MAX_REQUESTS_PER_S}"
         for field in ("services", "priorities"):
             values = row[field]
             if not values:
@@ -140,7 +140,7 @@
 
 
 def validate_digests(document):
-    """Report token digests that lack the format of `tokens.compute_digest`."""
+    """Report token digests not in the form that the `token` command prints."""
     for index, row in enumerate(document["customers"]):
         digest = row["token_digest"]
         if len(digest) != 64 or set(digest) - set("0123456789abcdef"):
--- a/chervilspindle/core/log_output.py
+++ b/chervilspindle/core/log_output.py
@@ -14,7 +14,7 @@
 BUFFER_BYTES = 256 * 1024
 LINES_PER_S = 40.0  # per kind of line
 BURST_LINES = 200.0
-FAILURE_STATUS = 400
+MIN_FAILURE_STATUS = 400
 
 
 class NonBlockingStream:
@@ -85,7 +85,7 @@
             return True
         now = self.read_clock()
         kind = record.msg
-        if getattr(record, "status", 0) >= FAILURE_STATUS:
+        if getattr(record, "status", 0) >= MIN_FAILURE_STATUS:
             kind = f"{kind} failed"
         bucket = self.buckets.setdefault(kind, [BURST_LINES, now, 0])
         refill = (now - bucket[1]) * LINES_PER_S
--- a/chervilspindle/core/loops.py
+++ b/chervilspindle/core/loops.py
@@ -9,8 +9,8 @@
 
 import uvloop
 
-# Allocations between collections of the young generation. With the default
-# of 700, a wide query triggers several collections.
+# Net allocations that trigger a collection of the young generation; at the
+# default of 700 a wide query triggers several.
 GC_YOUNG_THRESHOLD = 20000
 
 
