--- a/chervilspindle/core/metrics.py
+++ b/chervilspindle/core/metrics.py
@@ -1,7 +1,7 @@
 """Prometheus metrics of one process.
 
-They cover tail latency, coverage, extra load on endpoints, and the state of
-the control group.
+They cover what users ask about: tail latency, coverage and extra load on
+endpoints. Gauges show the state of the control group.
 """
 
 import aioprometheus
