--- a/chervilspindle/query/gather.py
+++ b/chervilspindle/query/gather.py
@@ -231,7 +231,7 @@
         self._send_parts(query, chosen, "expected-finish")
         self._finish_if_settled(query)
 
-    def _send_parts(self, query, chosen, reason, insist=False):
+    def _send_parts(self, query, chosen, reason, ignore_pause=False):
         """Send parts to their owners, one message per owner."""
         now = self.read_clock()
         parts_by_session = {}
@@ -245,7 +245,7 @@
                 epoch,
                 shard.plan.low,
                 shard.plan.high,
-                insist,
+                ignore_pause,
             )
             parts_by_session.setdefault(vm.session, []).append(part)
             shard.outstanding[number] = query_state.Send(
@@ -528,7 +528,7 @@
             query,
             [(shard, endpoint_id)],
             f"last resort after {shard.reason}",
-            insist=True,
+            ignore_pause=True,
         )
 
     def _choose_retry(self, shard):
--- a/chervilspindle/query/owner.py
+++ b/chervilspindle/query/owner.py
@@ -353,7 +353,7 @@
         if owned is None or owned.epoch != part.epoch:
             self._refuse(work, errors.ErrorKind.NOT_OWNER)
             return
-        if part.insist:
+        if part.ignore_pause:
             owned.limit = limits.allow_probe(owned.limit)
         if not owned.accepts_work(now):
             self._refuse(work, errors.ErrorKind.NO_ENDPOINT)
--- a/chervilspindle/wire/messages.py
+++ b/chervilspindle/wire/messages.py
@@ -162,7 +162,7 @@
     epoch: int
     low: int
     high: int
-    insist: bool = False
+    ignore_pause: bool = False
 
 
 class SubQuery(typing.NamedTuple):
