--- a/chervilspindle/routing/relayed_query.py
+++ b/chervilspindle/routing/relayed_query.py
@@ -65,7 +65,7 @@
             self.listener.on_endpoint_chosen(self, service, endpoint_id)
         for part_set in report.parts:
             self.pending_services.difference_update(part_set.services)
-            self.listener.on_part_set(self, part_set, report.usual_ms)
+            self.listener.on_part_set(self, part_set, report.mean_part_ms)
         self.pending_services.difference_update(
             loss.service for loss in report.losses
         )
--- a/chervilspindle/wire/messages.py
+++ b/chervilspindle/wire/messages.py
@@ -454,7 +454,7 @@
     parts: tuple[PartSet, ...]
     losses: tuple[Loss, ...]
     sent: tuple[tuple[str, str], ...]
-    usual_ms: float
+    mean_part_ms: float
 
 
 class RelayCancel(typing.NamedTuple):
