--- a/chervilspindle/routing/data_path_test.py
+++ b/chervilspindle/routing/data_path_test.py
@@ -343,7 +343,7 @@
             )
             for name, left_s in (
                 (b"first", 2.0),
-                (b"late", 0.15 + endpoint_http.LEAST_LEFT_S),
+                (b"late", 0.15 + endpoint_http.MIN_REMAINING_S),
             )
         )
         world.backend_by_id["desk-a"].work_s = 0.18
--- a/chervilspindle/wire/endpoint_http.py
+++ b/chervilspindle/wire/endpoint_http.py
@@ -20,7 +20,7 @@
 FRESH_IDLE_S = 1.0  # idle time after which a request that runs once may reuse
 MAX_ANSWER_BYTES = 4 * 1024 * 1024
 MAX_WAITING = 64  # requests of this VM that wait for a connection
-LEAST_LEFT_S = 0.05  # with less, an endpoint would work in vain
+MIN_REMAINING_S = 0.05  # with less, an endpoint would work in vain
 
 
 class Ending(enum.Enum):
@@ -245,7 +245,7 @@
         now = self.loop.time()
         while self.waiting:
             call = self.waiting.popleft()
-            if call.deadline_s - now < LEAST_LEFT_S:
+            if call.deadline_s - now < MIN_REMAINING_S:
                 self.end(call, Answer(Ending.NOT_SENT))
                 continue
             connection.send(call)
