--- a/chervilspindle/routing/endpoints.py
+++ b/chervilspindle/routing/endpoints.py
@@ -160,7 +160,7 @@
         pool = target.pool
         view = selection.CandidateState(
             len(pool.running),
-            pool.read_silence(now) * 1000.0,
+            pool.get_oldest_age_s(now) * 1000.0,
             target.same_zone,
             target.endpoint.state == "warming",
             pool.has_room(),
--- a/chervilspindle/wire/endpoint_http.py
+++ b/chervilspindle/wire/endpoint_http.py
@@ -186,7 +186,7 @@
         """Tell whether a request would be sent without waiting."""
         return bool(self.idle) or self.count < self.max_connections
 
-    def read_silence(self, now: float) -> float:
+    def get_oldest_age_s(self, now: float) -> float:
         """Return for how long the oldest request in progress has run, s."""
         for started_s in self.running.values():
             return now - started_s
