--- a/chervilspindle/wire/messages.py
+++ b/chervilspindle/wire/messages.py
@@ -1,4 +1,4 @@
-"""Messages between the system's own processes, and their codec."""
+"""Messages between processes of the system, and their codec."""
 
 import typing
 import zlib
@@ -10,7 +10,7 @@
 
 
 class ListsDelta(typing.NamedTuple):
-    """Rows of the operators' lists that changed.
+    """Changed rows of the operators' lists of customers and plans.
 
     Parameters
     ----------
@@ -19,7 +19,9 @@
     full : bool
         Whether it replaces both lists.
     customers, plans : tuple
+        Rows that were added or changed.
     gone_customers, gone_plans : tuple of str
+        Names of rows that were removed.
     """
 
     revision: int
@@ -31,17 +33,19 @@
 
 
 class Delta(typing.NamedTuple):
-    """Rows that changed since the version that an entry knows.
+    """Rows that changed since the version that an entry has.
 
     Parameters
     ----------
     version : int
         Version of the tables after this delta.
     full : bool
-        Whether it replaces all that the entry holds.
+        Whether it replaces all tables of the entry.
     lists : ListsDelta or None
     vms, endpoints, ownerships : tuple
+        Rows that were added or changed.
     gone_vms, gone_endpoints : tuple of str
+        Identifiers of rows that were removed.
     document : StoredDocument or None
         None if it did not change.
     """
@@ -60,8 +64,9 @@
 class Heartbeat(typing.NamedTuple):
     """Renews a session and reports endpoints that changed.
 
-    `known_version` and `known_revision` are those in force on the VM;
-    `handovers` name endpoints and epochs that it has taken over.
+    `known_version` and `known_revision` are the versions of the tables and
+    of the lists that are in effect on the VM. `handovers` holds
+    (endpoint_id, epoch) of the endpoints that it has taken over.
     """
 
     vm: rows.Vm
@@ -72,10 +77,10 @@
 
 
 class HeartbeatReply(typing.NamedTuple):
-    """Grants a lease from the time at which the heartbeat was sent.
+    """Grants a lease that starts when the heartbeat was sent.
 
-    `delta` is an encoded `Delta`, so that it is encoded once for all
-    sessions that know the same version.
+    `delta` is an already encoded `Delta`: it is encoded once for all
+    sessions that have the same version.
     """
 
     lease_ms: int
@@ -83,7 +88,7 @@
 
 
 class Leave(typing.NamedTuple):
-    """Ends a session that holds nothing any more."""
+    """Ends a session that no longer owns any endpoint."""
 
     session: str
 
@@ -93,13 +98,13 @@
 
 
 class NotLeader(typing.NamedTuple):
-    """Names the VM of the control leader, if one is known."""
+    """Rejects a call and names the VM of the control leader, if known."""
 
     leader_vm: str
 
 
 class ApplyListsCall(typing.NamedTuple):
-    """Asks the leader to replace the two lists."""
+    """Asks the leader to replace the lists of customers and plans."""
 
     change_id: str
     digest: str
@@ -109,7 +114,7 @@
 
 
 class ApplyListsReply(typing.NamedTuple):
-    """Tells whether a change was accepted, and the revision."""
+    """Reports whether a change was accepted, and the revision."""
 
     accepted: bool
     revision: int
@@ -123,14 +128,14 @@
 
 
 class ClaimReply(typing.NamedTuple):
-    """The new claim, or the earlier one under the same key."""
+    """Returns the new claim, or the existing one with the same key."""
 
     granted: bool
     claim: rows.Claim
 
 
 class ResolveCall(typing.NamedTuple):
-    """Records the outcome of an attempt (``done``, ``failed``, ``free``)."""
+    """Records an attempt's outcome (``done``, ``failed``, ``free``)."""
 
     claim_id: str
     attempt: str
@@ -139,22 +144,22 @@
 
 
 class StatusCall(typing.NamedTuple):
-    """Asks the leader how the system stands."""
+    """Asks the leader for the status of the system."""
 
 
 class StatusReply(typing.NamedTuple):
-    """JSON of the status."""
+    """Returns the status as JSON."""
 
     body: bytes
 
 
 class Part(typing.NamedTuple):
-    """One shard of a sub-query, at one endpoint under one epoch.
+    """One shard of a sub-query, for one endpoint in one ownership epoch.
 
     `send` numbers the sends of an attempt: replies and cancellations name
-    it, so that a second send for the same shard is told apart. `insist`
-    asks the owner to try an endpoint that it has paused, since no other
-    replica is left.
+    it, which distinguishes repeated sends for the same shard.
+    `ignore_pause` asks the owner to try an endpoint that it has paused,
+    since no other replica is left.
     """
 
     send: int
@@ -168,7 +173,7 @@
 class SubQuery(typing.NamedTuple):
     """All parts of one query for the endpoints of one owner.
 
-    `deadline_ms` is the time left; clocks of VMs are never compared.
+    `deadline_ms` is the remaining time: VM clocks are never compared.
     `query` is JSON.
     """
 
@@ -193,12 +198,12 @@
     status : str
         ``ok`` or the value of an `ErrorKind`.
     dispatched : bool
-        False proves that the endpoint never got the part.
+        False guarantees that the endpoint never received the part.
     retry_after_ms : int
     wait_ms, service_ms : float
-        Time in the owner's queue, and at the endpoint.
+        Time in the owner's queue, and time at the endpoint.
     backlog_ms : float
-        Expected wait of the endpoint's queue when the reply was built.
+        Expected wait in the endpoint's queue when the reply was built.
     value : bytes
         JSON.
     """
@@ -215,7 +220,7 @@
 
 
 class SubReply(typing.NamedTuple):
-    """Results of parts that ended in the same turn of the loop."""
+    """Results of parts that ended in the same event loop iteration."""
 
     request_id: str
     attempt: int
@@ -223,7 +228,7 @@
 
 
 class CancelParts(typing.NamedTuple):
-    """Ends the named sends of a sub-query."""
+    """Cancels the named sends of a sub-query."""
 
     request_id: str
     attempt: int
@@ -245,7 +250,7 @@
 
 
 class CommandReply(typing.NamedTuple):
-    """Outcome of a command; `dispatched` False proves that it never ran."""
+    """Outcome of a command; if not `dispatched`, it certainly never ran."""
 
     status: str
     dispatched: bool
@@ -254,17 +259,17 @@
 
 
 class HandOverCall(typing.NamedTuple):
-    """Asks the owner before for an endpoint that was granted anew.
+    """Asks the previous owner to release a newly granted endpoint.
 
     Parameters
     ----------
     endpoint_id : str
     epoch : int
-        Of the new grant; the owner before sends no more work under any
-        earlier one.
+        Epoch of the new grant; the previous owner sends no more work under
+        an earlier one.
     previous : str
-        The session that is asked; another process at its address answers
-        no.
+        Session of the previous owner; another process at its address
+        declines.
     """
 
     endpoint_id: str
@@ -273,14 +278,14 @@
 
 
 class HandOverReply(typing.NamedTuple):
-    """Says whether an endpoint was handed over, and how much runs there."""
+    """Reports whether an endpoint was handed over, and its running work."""
 
     granted: bool
     running: int
 
 
 class SlotsLeft(typing.NamedTuple):
-    """Tells the new owner how much work of the owner before still runs."""
+    """Tells the new owner how much work of the previous one still runs."""
 
     endpoint_id: str
     epoch: int
@@ -288,7 +293,7 @@
 
 
 class Load(typing.NamedTuple):
-    """What an endpoint said of its load in one announcement."""
+    """Load that an endpoint reported in one announcement."""
 
     endpoint_id: str
     incarnation: int
@@ -298,25 +303,25 @@
 
 
 class LoadReport(typing.NamedTuple):
-    """Announcements that an entry passes on to the endpoints' owner."""
+    """Announcements that an entry forwards to the endpoints' owner."""
 
     loads: tuple[Load, ...]
 
 
 class ExplainCall(typing.NamedTuple):
-    """Asks the entry that gathered a request what it decided."""
+    """Asks the entry that coordinated a request for its decisions."""
 
     request_id: str
 
 
 class ExplainReply(typing.NamedTuple):
-    """JSON of the decisions, empty if the request is unknown."""
+    """Returns the decisions as JSON, empty if the request is unknown."""
 
     body: bytes
 
 
 class ProblemReply(typing.NamedTuple):
-    """Answers a call that failed."""
+    """Reports that a call failed."""
 
     kind: str
     detail: str
@@ -327,7 +332,7 @@
 class Replicate(typing.NamedTuple):
     """Carries one message of the replicated log.
 
-    `address` is where its sender listens.
+    `address` is the address on which its sender listens.
     """
 
     data: bytes
@@ -335,13 +340,13 @@
 
 
 class Relay(typing.NamedTuple):
-    """An entry that gathers shards for others.
+    """An entry that queries shards on behalf of other entries.
 
     Parameters
     ----------
     vm_id, zone : str
     address : str
-        Where its links come in.
+        Address on which it accepts peer links.
     """
 
     vm_id: str
@@ -350,24 +355,24 @@
 
 
 class RelayList(typing.NamedTuple):
-    """All relays; lists with the same mark are the same."""
+    """All relays; `mark` is a fingerprint of the list."""
 
     mark: int
     relays: tuple[Relay, ...]
 
 
 class RelayedRequest(typing.NamedTuple):
-    """What a relay has to know of a query besides its shards.
+    """Parameters of a relayed query, apart from its shards.
 
     Parameters
     ----------
     request_id : bytes
     left_ms : float
-        Until the deadline of the query.
+        Time until the deadline of the query.
     report_ms : float
-        When the relay reports what it has.
+        Time after which the relay reports the results it has.
     top_k : int
-        Records in the answer of the query.
+        Number of records in the answer of the query.
     """
 
     request_id: bytes
@@ -384,10 +389,11 @@
     query_id : int
         Unique on the link.
     head, tail : bytes
-        The request around what differs by endpoint.
+        Bytes of the request before and after the part that differs by
+        endpoint.
     services : tuple of str
     tried : tuple of tuple of str
-        Endpoints that got a shard before, by shard; may be empty.
+        Endpoints to which each shard was already sent; may be empty.
     request : RelayedRequest
     """
 
@@ -400,7 +406,7 @@
 
 
 class PartSet(typing.NamedTuple):
-    """Good answers of some shards.
+    """Combined successful answers of some shards.
 
     Parameters
     ----------
@@ -409,7 +415,7 @@
     stamps : bytes
         Their signatures, separated by commas.
     body : bytes
-        Their records, or the greatest of them.
+        Their records, or only the top ones.
     """
 
     services: tuple[str, ...]
@@ -418,16 +424,16 @@
 
 
 class Loss(typing.NamedTuple):
-    """A shard that got no part.
+    """A shard without a usable answer.
 
     Parameters
     ----------
     service, endpoint_id : str
-        The endpoint is empty if there was none to send to, or if it is not
-        known.
+        The endpoint is empty if there was none to send to, or if it is
+        unknown.
     reason : str
     ran : bool
-        False only if the endpoint certainly has not run the request.
+        False only if the endpoint certainly did not run the request.
     """
 
     service: str
@@ -437,7 +443,7 @@
 
 
 class RelayReport(typing.NamedTuple):
-    """What became of shards that a relay has sent.
+    """Outcome of shards that a relay has sent.
 
     Parameters
     ----------
@@ -445,9 +451,9 @@
     parts : tuple of PartSet
     losses : tuple of Loss
     sent : tuple of (service, endpoint_id)
-        Shards that are still in progress, in the first report.
-    usual_ms : float
-        Mean time of the parts, 0 without any.
+        Shards that are still in progress; set in the first report only.
+    mean_part_ms : float
+        Mean time of the parts, 0 if there are none.
     """
 
     query_id: int
@@ -458,26 +464,25 @@
 
 
 class RelayCancel(typing.NamedTuple):
-    """Has a relay give up what is in progress."""
+    """Tells a relay to cancel the shards of a query in progress."""
 
     query_id: int
 
 
 class WatchCall(typing.NamedTuple):
-    """Asks a control member for rows that changed, as soon as some have.
+    """Long poll: asks a control member for rows as soon as any change.
 
     Parameters
     ----------
     vm_id : str
     known_version : int
     requests : int
-        The most that the entry had for one service within a window of the
-        retry budget.
+        Peak number of requests that the entry had for one service within a
+        window of the retry budget.
     zone, relay_address : str
-        Where the entry gathers shards for others; empty while it is not
-        ready to.
+        Where the entry serves as a relay; empty while it is not ready to.
     known_relays : int
-        Mark of the relays that the entry knows.
+        Fingerprint of the list of relays that the entry has.
     """
 
     vm_id: str
@@ -489,22 +494,22 @@
 
 
 class WatchReply(typing.NamedTuple):
-    """What changed, and how far the member can be trusted.
+    """Changed rows, and how current the member's state is.
 
     Parameters
     ----------
     age_ms : float
-        How long ago the member last heard the leader.
+        Time since the member last heard from the leader.
     watchers : int
-        Entries that watch any member, 0 if that is not known.
+        Number of entries that watch any member, 0 if unknown.
     requests : int
-        Sum of what all entries reported as their requests.
+        Sum of the `requests` that all entries reported.
     addresses : tuple of str
         Peer addresses of all members.
     delta : bytes
         Encoded `Delta`.
     relays : RelayList or None
-        None if the entry knows them, or the member does not.
+        None if the entry has the current list, or the member has none.
     """
 
     age_ms: float
@@ -516,27 +521,27 @@
 
 
 class AnnounceCall(typing.NamedTuple):
-    """Asks the leader to record what an endpoint said of itself."""
+    """Asks the leader to record an endpoint's announcement."""
 
     endpoint: rows.Endpoint
 
 
 class MemberReport(typing.NamedTuple):
-    """Tells the leader what a member has heard since its last report.
+    """Tells the leader what a member has received since its last report.
 
     Parameters
     ----------
     member_id : str
     watchers : int
-        Entries that watch this member.
+        Number of entries that watch this member.
     requests : int
-        Sum of their requests.
+        Sum of their `requests`.
     heard : tuple of str
         Endpoints that announced themselves.
     relays : tuple of Relay
-        Among the entries that watch this member.
+        Relays among the entries that watch this member.
     known_relays : int
-        Mark of the relays of all members that this one knows.
+        Fingerprint of the list of all members' relays that this one has.
     """
 
     member_id: str
@@ -550,7 +555,7 @@
 class MemberReportReply(typing.NamedTuple):
     """Sums over all members, 0 if the leader does not know them yet.
 
-    `relays` is None as well if the member knows them.
+    `relays` is also None if the member has the current list.
     """
 
     watchers: int
@@ -559,13 +564,13 @@
 
 
 class DocumentCall(typing.NamedTuple):
-    """Asks the leader to put a routing document in force."""
+    """Asks the leader to store and activate a routing document."""
 
     document: rows.StoredDocument
 
 
 class DocumentReply(typing.NamedTuple):
-    """The version held after that."""
+    """Returns the version that is stored after the call."""
 
     held_version: int
 
@@ -575,13 +580,13 @@
 
 
 class ReadDocumentReply(typing.NamedTuple):
-    """The newest routing document; version -1 is none."""
+    """Returns the newest routing document; version -1 means none."""
 
     document: rows.StoredDocument
 
 
 class Frame(typing.NamedTuple):
-    """One message on a link; `call_id` 0 expects no reply."""
+    """One message on a link; `call_id` 0 means that no reply is expected."""
 
     kind: str
     call_id: int
@@ -634,10 +639,10 @@
 
 EMPTY_VALUE = b"null"
 
-# Documents and tables of endpoints shrink to a fifth and less, and go to
-# every entry; small deltas are not worth the time.
-COMPRESSED_FROM_BYTES = 1024
-COMPRESSION_LEVEL = 1  # shared by all entries, but made while they wait
+# Documents and tables of endpoints go to every entry and compress to a fifth
+# or less of their size; for smaller deltas the saving is not worth the time.
+COMPRESSION_MIN_BYTES = 1024
+COMPRESSION_LEVEL = 1  # entries wait while the shared delta is compressed
 PLAIN = b"p"
 COMPRESSED = b"z"
 
@@ -652,7 +657,7 @@
 def encode_delta(delta: Delta) -> bytes:
     """Encode a delta, compressed if it is large."""
     data = _ENCODER.encode(delta)
-    if len(data) < COMPRESSED_FROM_BYTES:
+    if len(data) < COMPRESSION_MIN_BYTES:
         return PLAIN + data
     return COMPRESSED + zlib.compress(data, COMPRESSION_LEVEL)
 
@@ -693,7 +698,7 @@
 
 
 def build_problem_reply(problem: errors.Problem) -> ProblemReply:
-    """Turn a problem into its message."""
+    """Build the reply that reports a problem."""
     return ProblemReply(
         problem.kind.value,
         problem.detail,
@@ -703,7 +708,7 @@
 
 
 def read_problem(reply: ProblemReply) -> errors.Problem:
-    """Turn a message back into the problem."""
+    """Return the problem that a reply reports."""
     return errors.Problem(
         errors.ErrorKind(reply.kind),
         reply.detail,
--- a/chervilspindle/wire/messages_test.py
+++ b/chervilspindle/wire/messages_test.py
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize("kind", errors.ErrorKind)
-def test_every_error_kind_has_an_answer(kind):
+def test_every_error_kind_survives_a_problem_reply(kind):
     problem = errors.build_problem(kind, "detail")
     reply = messages.build_problem_reply(problem)
     assert messages.read_problem(reply).kind is kind
