--- a/chervilspindle/wire/peer.py
+++ b/chervilspindle/wire/peer.py
@@ -1,12 +1,12 @@
 """Authenticated message links between VMs, over framed TCP.
 
-Each link starts with a nonce from either side; every frame then carries a
-keyed BLAKE2b tag over a counter and the bytes, so that frames can't be
-forged, replayed, dropped or reordered within a link. Both ends of a link in
-use send pings and close it when nothing arrives: TCP alone may take minutes
-to notice that something between the ends has lost track of the connection.
-A link that carried no message for a while is left alone, so that thousands
-of idle links cost nothing; the next message starts the pings of both ends.
+Each link starts with an exchange of nonces; every later frame carries a keyed
+BLAKE2b tag over a counter and the payload, so that frames cannot be forged,
+replayed, dropped or reordered within a link. Both ends of an active link send
+pings and close it when nothing arrives, because TCP alone may take minutes to
+detect that a device on the path has dropped the connection's state. Idle links
+send no pings, so that thousands of them cost nothing; the next message starts
+the pings of both ends again.
 """
 
 import hashlib
@@ -37,7 +37,7 @@
 
 
 class PendingCall(typing.NamedTuple):
-    """A call that waits for its reply."""
+    """A call whose reply is outstanding."""
 
     deferred: defer.Deferred
     timeout: object
@@ -56,9 +56,9 @@
         self.receive_key = None
         self.sent_count = 0
         self.received_count = 0
-        self.last_heard = network.clock.seconds()
-        self.last_sent = self.last_heard
-        self.last_used = self.last_heard
+        self.last_received = network.clock.seconds()
+        self.last_sent = self.last_received
+        self.last_used = self.last_received
         self.pending_by_id = {}
         self.call_ids = itertools.count(1)
 
@@ -69,24 +69,24 @@
         self.sendString(self.own_nonce)
 
     def connectionLost(self, reason=protocol.connectionDone):
-        """Fail all calls and tell the network."""
+        """Fail outstanding calls and remove the link from the network."""
         pending = list(self.pending_by_id.values())
         self.pending_by_id.clear()
         self.network.remove_link(self)
         for call in pending:
             if call.timeout.active():
                 call.timeout.cancel()
-            call.deferred.errback(_build_lost("peer link lost"))
+            call.deferred.errback(_build_connection_lost("peer link lost"))
 
     def stringReceived(self, string: bytes):
-        """Check a frame and pass its message on."""
-        self.last_heard = self.network.clock.seconds()
+        """Authenticate a frame and dispatch its message."""
+        self.last_received = self.network.clock.seconds()
         if self.receive_key is None:
             self._finish_handshake(string)
             return
         body = self._verify(string)
         if body is None:
-            LOGGER.warning("peer frame refused")
+            LOGGER.warning("peer frame failed authentication; closing link")
             self.transport.abortConnection()
             return
         if not body:
@@ -94,33 +94,34 @@
         try:
             message, call_id, is_reply = messages.decode_frame(body)
         except (msgspec.MsgspecError, KeyError):
-            LOGGER.warning("peer frame not understood")
+            LOGGER.warning("peer frame cannot be decoded; closing link")
             self.transport.abortConnection()
             return
-        self.last_used = self.last_heard
+        self.last_used = self.last_received
         if is_reply:
             self._resolve(call_id, message)
         else:
             self.network.dispatch(self, call_id, message)
 
     def lengthLimitExceeded(self, length: int):
-        """Drop a link whose frame is larger than any message."""
+        """Close a link whose frame exceeds the size limit."""
         self.transport.abortConnection()
 
     def is_ready(self) -> bool:
-        """Tell whether the handshake is done."""
+        """Return whether the handshake is complete."""
         return self.send_key is not None
 
     def is_idle(self, now: float) -> bool:
-        """Tell whether the link carried no message for a while."""
+        """Return whether no message was carried for `IDLE_AFTER_S`."""
         return now - self.last_used > IDLE_AFTER_S
 
     def send(self, message, call_id: int = 0, is_reply: bool = False):
         """Send a message."""
         now = self.network.clock.seconds()
         if self.is_idle(now):
-            # The other end has sent no pings; its silence counts from now.
-            self.last_heard = now
+            # The other end sent no pings on the idle link, so the silence
+            # limit starts now.
+            self.last_received = now
         self.last_used = now
         self._send_body(messages.encode_frame(message, call_id, is_reply))
 
@@ -184,7 +185,9 @@
     def _time_out(self, call_id: int):
         call = self.pending_by_id.pop(call_id, None)
         if call is not None:
-            call.deferred.errback(_build_lost("peer did not answer in time"))
+            call.deferred.errback(
+                _build_connection_lost("peer did not answer in time")
+            )
 
 
 class PeerNetwork(protocol.Factory):
@@ -227,7 +230,8 @@
     def send(self, address: str, message):
         """Send a message, over a new link if there is none yet.
 
-        Loss is told to `lost_listeners`, each ``listener(address)``.
+        If the link is lost, each of `lost_listeners` is called as
+        ``listener(address)``.
         """
         link = self.link_by_address.get(address)
         if link is not None and link.is_ready():
@@ -255,7 +259,9 @@
 
         def start(ready):
             if ready is None:
-                outer.errback(_build_lost("peer can't be reached", True))
+                outer.errback(
+                    _build_connection_lost("peer cannot be reached", True)
+                )
                 return
             ready.call(message, timeout_s).chainDeferred(outer)
 
@@ -272,11 +278,11 @@
             deferred.addErrback(_log_failure)
 
     def add_link(self, link: PeerLink):
-        """Note a link that was opened."""
+        """Register an opened link."""
         self.links.add(link)
 
     def link_ready(self, link: PeerLink):
-        """Send what waited for the handshake."""
+        """Send the messages queued until the handshake completed."""
         address = link.dialled_address
         if not address:
             return
@@ -285,7 +291,7 @@
             start(link)
 
     def remove_link(self, link: PeerLink):
-        """Forget a closed link and tell those who sent on it."""
+        """Remove a closed link and notify those who sent on it."""
         self.links.discard(link)
         address = link.dialled_address
         if not address:
@@ -295,7 +301,7 @@
         self._fail_queue(address)
 
     def close(self):
-        """Close all links, after what was written."""
+        """Close all links after their pending output is written."""
         for link in list(self.links):
             link.transport.loseConnection()
 
@@ -334,7 +340,7 @@
         for link in list(self.links):
             if link.is_ready() and link.is_idle(now):
                 continue
-            if now - link.last_heard > SILENCE_LIMIT_S:
+            if now - link.last_received > SILENCE_LIMIT_S:
                 link.transport.abortConnection()
             elif link.is_ready() and now - link.last_sent >= PING_PERIOD_S:
                 link.send_ping()
@@ -351,7 +357,7 @@
     return digest.digest()
 
 
-def _build_lost(detail: str, not_run: bool = False):
+def _build_connection_lost(detail: str, not_run: bool = False):
     return errors.build_error(
         errors.ErrorKind.CONNECTION_LOST, detail, not_run=not_run
     )
@@ -360,7 +366,7 @@
 def _convert_failure(failure):
     if failure.check(errors.ProblemError):
         return messages.build_problem_reply(failure.value.problem)
-    LOGGER.error("peer call failed: %s", failure.getTraceback())
+    LOGGER.error("handler of peer call failed: %s", failure.getTraceback())
     problem = errors.build_problem(
         errors.ErrorKind.INTERNAL, "internal error at the peer"
     )
@@ -368,4 +374,4 @@
 
 
 def _log_failure(failure):
-    LOGGER.error("peer message failed: %s", failure.getTraceback())
+    LOGGER.error("handler of peer message failed: %s", failure.getTraceback())
--- a/chervilspindle/wire/peer_test.py
+++ b/chervilspindle/wire/peer_test.py
@@ -1,4 +1,4 @@
-"""Tests of peer links: authentication, calls, silence and idle links."""
+"""Tests of peer links: authentication, calls, silent and idle links."""
 
 import pytest
 from twisted.internet import task
@@ -14,7 +14,7 @@
 
 
 class Transport(testing.StringTransport):
-    """Collects bytes; remembers that it was aborted."""
+    """Collects the bytes written and records an abort."""
 
     def setTcpNoDelay(self, enabled):
         pass
@@ -49,7 +49,7 @@
 
 
 class Pair:
-    """Both ends; bytes are carried when the test says so."""
+    """Both ends of a link; the test decides when bytes are delivered."""
 
     def __init__(self, first_key=b"k" * 16, second_key=b"k" * 16):
         self.clock = task.Clock()
@@ -57,10 +57,10 @@
         self.listener = End(self.clock, second_key, "")
         for end in (self.dialler, self.listener):
             end.link.makeConnection(end.transport)
-        self.carry()
+        self.deliver()
 
-    def carry(self):
-        """Carry all bytes both ways until nothing more comes."""
+    def deliver(self):
+        """Deliver bytes both ways until both ends are quiet."""
         moved = True
         while moved:
             moved = False
@@ -74,11 +74,11 @@
                     moved = True
                     there.link.dataReceived(data)
 
-    def pass_time(self, seconds, carry=True):
+    def advance_time(self, seconds, deliver=True):
         for _ in range(round(seconds * 10)):
             self.clock.advance(0.1)
-            if carry:
-                self.carry()
+            if deliver:
+                self.deliver()
 
 
 @pytest.fixture(name="pair")
@@ -90,7 +90,7 @@
     replies = []
     link = pair.dialler.link
     link.call(messages.StatusCall(), 1.0).addCallback(replies.append)
-    pair.carry()
+    pair.deliver()
     assert replies == [messages.StatusReply(b"{}")]
 
 
@@ -98,16 +98,16 @@
     failures = []
     link = pair.dialler.link
     link.call(messages.StatusCall(), 1.0).addErrback(failures.append)
-    pair.pass_time(1.2, carry=False)
+    pair.advance_time(1.2, deliver=False)
     problem = failures[0].value.problem
     assert problem.kind is errors.ErrorKind.CONNECTION_LOST
     assert not problem.not_run
 
 
-def test_other_key_is_refused():
+def test_link_with_different_key_is_refused():
     pair = Pair(second_key=b"x" * 16)
     pair.dialler.link.send(messages.StatusCall())
-    pair.carry()
+    pair.deliver()
     assert pair.listener.transport.disconnecting
     assert pair.listener.received == []
 
@@ -133,33 +133,33 @@
     assert pair.listener.transport.disconnecting
 
 
-def test_link_in_use_that_falls_silent_is_closed(pair):
+def test_active_link_that_goes_silent_is_closed(pair):
     pair.dialler.link.send(messages.Leave("session"))
-    pair.carry()
-    pair.pass_time(5.0)
+    pair.deliver()
+    pair.advance_time(5.0)
     assert not pair.dialler.transport.disconnecting
-    pair.pass_time(3.0, carry=False)
+    pair.advance_time(3.0, deliver=False)
     assert pair.dialler.transport.disconnecting
 
 
 def test_idle_link_sends_nothing_and_stays(pair):
-    pair.pass_time(30.0)
+    pair.advance_time(30.0)
     pair.dialler.transport.clear()
     pair.listener.transport.clear()
-    pair.pass_time(60.0, carry=False)
+    pair.advance_time(60.0, deliver=False)
     assert pair.dialler.transport.value() == b""
     assert pair.listener.transport.value() == b""
     assert not pair.dialler.transport.disconnecting
     pair.dialler.link.send(messages.Leave("session"))
-    pair.pass_time(5.0)
+    pair.advance_time(5.0)
     assert len(pair.listener.received) == 1
     assert not pair.dialler.transport.disconnecting
 
 
-def test_idle_link_that_went_silent_is_found_by_the_next_message(pair):
-    pair.pass_time(60.0)
+def test_idle_link_that_went_silent_is_closed_after_the_next_message(pair):
+    pair.advance_time(60.0)
     pair.dialler.link.send(messages.Leave("session"))
-    pair.pass_time(1.0, carry=False)
+    pair.advance_time(1.0, deliver=False)
     assert not pair.dialler.transport.disconnecting
-    pair.pass_time(2.0, carry=False)
+    pair.advance_time(2.0, deliver=False)
     assert pair.dialler.transport.disconnecting
