--- a/chervilspindle/wire/http_server.py
+++ b/chervilspindle/wire/http_server.py
@@ -1,8 +1,8 @@
 """HTTP/1.1 server of the data path, on asyncio protocols and httptools.
 
-A connection serves one request at a time and answers pipelined ones in
-order. A request reaches the handler only when it has been read whole, so a
-connection that is closed before has certainly caused no work.
+A connection serves one request at a time and answers pipelined requests in
+order. A request reaches the handler only after it has been read completely, so
+a connection that closes earlier has certainly caused no work.
 """
 
 import collections
@@ -39,7 +39,7 @@
 
 
 class Request(typing.NamedTuple):
-    """One request as it was read.
+    """One request that was read completely.
 
     Parameters
     ----------
@@ -50,7 +50,7 @@
     received_s : float
         Loop time at which the last byte was read.
     is_first : bool
-        Whether it is the first on its connection.
+        Whether it is the first request on its connection.
     """
 
     method: bytes
@@ -69,7 +69,7 @@
 
 
 class ServerLimits(typing.NamedTuple):
-    """Bounds on callers; see `documents.Limits`."""
+    """Size and time limits for requests; see `documents.Limits`."""
 
     header_bytes: int
     body_bytes: int
@@ -78,9 +78,9 @@
 
 
 class Exchange:
-    """One request and the place of its answer.
+    """One request and the means to answer it.
 
-    `on_abandoned` is called without arguments if the caller goes away
+    `on_abandoned` is called without arguments if the caller disconnects
     before the answer.
     """
 
@@ -93,7 +93,7 @@
         self.answered = False
 
     def respond(self, status: int, headers: Headers = (), body: bytes = b""):
-        """Send the answer; only the first one counts."""
+        """Send the answer; later calls have no effect."""
         if self.answered:
             return
         self.answered = True
@@ -109,11 +109,11 @@
     loop : asyncio.AbstractEventLoop
     timers : TimerService
     name : str
-        Name of its timer and of its log lines.
+        Name of its timer, and the `server` field of its log lines.
     handler : callable
-        ``handler(exchange)``; answers now or later.
+        ``handler(exchange)``; may answer before or after it returns.
     read_limits : callable
-        Returns the `ServerLimits` in force.
+        Returns the current `ServerLimits`.
     """
 
     def __init__(self, loop, timers, name, handler, read_limits):
@@ -142,15 +142,15 @@
             connection.check_time(now, limits)
 
     def count_busy(self) -> int:
-        """Return how many connections wait for an answer."""
+        """Return the number of connections with a request in progress."""
         return sum(1 for c in self.connections if c.exchange is not None)
 
     def start_closing(self):
-        """Ask callers to leave: answers close their connections."""
+        """Close each connection after its next answer from now on."""
         self.closing = True
 
     def close_idle(self):
-        """Close connections on which nothing has arrived."""
+        """Close connections without a request in progress or half read."""
         for connection in list(self.connections):
             if connection.is_idle():
                 connection.transport.close()
@@ -177,21 +177,21 @@
         self.header_bytes = 0
         self.body_bytes = 0
         self.in_header = True
-        self.begun_s = None
+        self.request_started_s = None
         self.idle_since_s = server.loop.time()
-        self.served = 0
+        self.request_count = 0
         self.waiting = collections.deque()
         self.exchange = None
         self.refused = False
         self.keep_alive = True
 
     def connection_made(self, transport):
-        """Note a new connection."""
+        """Register a new connection."""
         self.transport = transport
         self.server.connections.add(self)
 
     def connection_lost(self, error):
-        """Tell whoever works for this connection."""
+        """Abandon the request in progress."""
         self.server.connections.discard(self)
         self.waiting.clear()
         exchange, self.exchange = self.exchange, None
@@ -199,21 +199,21 @@
             exchange.on_abandoned()
 
     def eof_received(self):
-        """Close: a caller that stops sending has left."""
+        """Close: a caller that ends its sending side has disconnected."""
         return False
 
     def pause_writing(self):
-        """Do nothing: answers are bounded and few."""
+        """Do nothing: answers are bounded in size and number."""
 
     def resume_writing(self):
         """Do nothing."""
 
     def data_received(self, data: bytes):
-        """Parse what arrived."""
+        """Parse received bytes."""
         if self.refused:
             return
-        if self.begun_s is None:
-            self.begun_s = self.server.loop.time()
+        if self.request_started_s is None:
+            self.request_started_s = self.server.loop.time()
         try:
             if self.in_header:
                 self.header_bytes += len(data)
@@ -229,25 +229,25 @@
             self._refuse(431, "header is too large")
 
     def on_message_begin(self):
-        """Start a request."""
+        """Reset the state for a new request."""
         self.target = b""
         self.headers = []
         self.body = []
         self.body_bytes = 0
         self.in_header = True
-        if self.begun_s is None:
-            self.begun_s = self.server.loop.time()
+        if self.request_started_s is None:
+            self.request_started_s = self.server.loop.time()
 
     def on_url(self, url: bytes):
-        """Take a piece of the target."""
+        """Append a piece of the request target."""
         self.target += url
 
     def on_header(self, name: bytes, value: bytes):
-        """Take one header."""
+        """Append one header."""
         self.headers.append((name.lower(), value))
 
     def on_headers_complete(self):
-        """Check the header before its body is read."""
+        """Check the header section before the body is read."""
         self.in_header = False
         size = len(self.target)
         expects = False
@@ -262,7 +262,7 @@
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, body: bytes):
-        """Take a piece of the body."""
+        """Append a piece of the body."""
         self.body_bytes += len(body)
         if self.body_bytes > self.server.read_limits().body_bytes:
             self._refuse(413, "body is too large")
@@ -270,7 +270,7 @@
         self.body.append(body)
 
     def on_message_complete(self):
-        """Pass the request on, or queue it behind the one before."""
+        """Pass the request to the handler, or queue it."""
         if self.refused:
             return
         request = Request(
@@ -279,19 +279,19 @@
             tuple(self.headers),
             b"".join(self.body),
             self.server.loop.time(),
-            self.served == 0,
+            self.request_count == 0,
         )
-        self.served += 1
+        self.request_count += 1
         self.in_header = True
         self.header_bytes = 0
-        self.begun_s = None
+        self.request_started_s = None
         self.waiting.append((request, self.parser.should_keep_alive()))
         if len(self.waiting) > MAX_PIPELINED:
             self.transport.pause_reading()
         self._serve_next()
 
     def finish(self, exchange, status, headers, body):
-        """Write the answer of the request that is being served."""
+        """Write the answer of the request in progress."""
         if self.exchange is not exchange:
             return
         self.exchange = None
@@ -306,15 +306,15 @@
             self.server.loop.call_soon(self._serve_next)
 
     def is_idle(self) -> bool:
-        """Tell whether nothing was read that is not answered yet."""
-        return self.exchange is None and self.begun_s is None
+        """Return whether all that was read has been answered."""
+        return self.exchange is None and self.request_started_s is None
 
     def check_time(self, now: float, limits: ServerLimits):
         """Close the connection if its caller takes too long."""
         if self.exchange is not None or self.transport.is_closing():
             return
-        if self.begun_s is not None:
-            if (now - self.begun_s) * 1000.0 > limits.header_ms:
+        if self.request_started_s is not None:
+            if (now - self.request_started_s) * 1000.0 > limits.header_ms:
                 self._refuse(408, "request was not sent in time")
         elif (now - self.idle_since_s) * 1000.0 > limits.idle_ms:
             self.transport.close()
@@ -329,14 +329,20 @@
         try:
             self.server.handler(exchange)
         except Exception:
-            # Raised on, it would count as a mistake of the caller.
+            # If this propagated to the parser, it would be reported to the
+            # caller as a malformed request.
             LOGGER.exception(
-                "handler failed", extra={"server": self.server.name}
+                "request handler raised an exception",
+                extra={"server": self.server.name},
             )
             exchange.respond(500)
 
     def _refuse(self, status, reason):
-        """Answer what can't be read, after the answers that are due."""
+        """Reject an unreadable request, after the answer in progress.
+
+        With an answer in progress, the connection closes after that answer
+        and the rejected request gets no answer of its own.
+        """
         if self.refused:
             return
         self.refused = True
@@ -352,7 +358,7 @@
             self._write(status, (), reason.encode(), b"GET", False)
             self.transport.close()
         else:
-            # The answer in progress ends the connection.
+            # The connection closes after the answer in progress.
             self.keep_alive = False
             self.waiting.clear()
 
