--- a/chervilspindle/routing/connection_prewarmer.py
+++ b/chervilspindle/routing/connection_prewarmer.py
@@ -123,10 +123,10 @@
             )
             scarce = 0 < limit < SCARCE_CONNECTIONS_PER_ENTRY * table.vms
             if scarce and id(target.pool) not in kept:
-                target.pool.keep_s = SCARCE_IDLE_S
+                target.pool.max_idle_s = SCARCE_IDLE_S
                 target.pool.close_stale(now)
             else:
-                target.pool.keep_s = math.inf
+                target.pool.max_idle_s = math.inf
 
     def _choose_pool(self, table, service):
         """Return the pool to prewarm for a service, None without endpoints.
--- a/chervilspindle/routing/connection_prewarmer_test.py
+++ b/chervilspindle/routing/connection_prewarmer_test.py
@@ -158,7 +158,9 @@
     pools = [t.pool for d in targets.values() for t in d.values()]
     closed = [p for p in pools if p.closed_s]
     assert len(closed) == 90
-    assert all(p.keep_s == connection_prewarmer.SCARCE_IDLE_S for p in closed)
+    assert all(
+        p.max_idle_s == connection_prewarmer.SCARCE_IDLE_S for p in closed
+    )
 
 
 def test_plentiful_connections_are_not_closed():
--- a/chervilspindle/wire/endpoint_http.py
+++ b/chervilspindle/wire/endpoint_http.py
@@ -143,7 +143,7 @@
         self.running = {}
         self.closed = False
         self.failed_s = -math.inf
-        self.keep_s = math.inf
+        self.max_idle_s = math.inf
 
     def open_idle(self):
         """Open a connection that no request waits for."""
@@ -152,7 +152,9 @@
 
     def close_stale(self, now: float):
         """Close connections that have been idle for longer than `keep_s`."""
-        stale = [c for c in self.idle if now - c.idle_since_s > self.keep_s]
+        stale = [
+            c for c in self.idle if now - c.idle_since_s > self.max_idle_s
+        ]
         for connection in stale:
             self.idle.remove(connection)
             connection.transport.close()
