--- a/chervilspindle/wire/endpoint_http.py
+++ b/chervilspindle/wire/endpoint_http.py
@@ -1,8 +1,8 @@
-"""HTTP/1.1 client of the data path: kept connections to endpoints.
+"""HTTP/1.1 client of the data path: persistent connections to endpoints.
 
 A connection carries one request at a time. Bytes that do not belong to the
-request in progress end the connection, so that they can never be taken for
-another request's answer.
+request in progress close the connection, so that they cannot be mistaken for
+the answer to another request.
 """
 
 import asyncio
@@ -15,12 +15,15 @@
 import httptools
 
 CONNECT_TIMEOUT_S = 0.5  # several round trips within a region
-DEFAULT_IDLE_S = 4.0  # reuse without a time stated by the endpoint
-IDLE_MARGIN_S = 0.5  # ends reuse before the endpoint closes
-FRESH_IDLE_S = 1.0  # idle time after which a request that runs once may reuse
+DEFAULT_IDLE_LIMIT_S = 4.0  # for endpoints that state no keep-alive timeout
+IDLE_MARGIN_S = 0.5  # stops reuse before the endpoint closes the connection
+# Longest idle time of a connection that a request which must run at most once
+# may reuse; after longer, the endpoint may be closing it.
+SINGLE_RUN_IDLE_LIMIT_S = 1.0
 MAX_ANSWER_BYTES = 4 * 1024 * 1024
 MAX_WAITING = 64  # requests of this VM that wait for a connection
-MIN_REMAINING_S = 0.05  # with less, an endpoint would work in vain
+# With less time left, the endpoint's answer would miss the deadline.
+MIN_REMAINING_S = 0.05
 
 
 class Ending(enum.Enum):
@@ -28,9 +31,9 @@
 
     ANSWERED = "answered"
     NOT_SENT = "not_sent"  # certainly never reached the endpoint
-    WITHDRAWN = "withdrawn"  # not sent either, since nobody needs it any more
+    WITHDRAWN = "withdrawn"  # cancelled before it was sent
     BROKEN = "broken"  # connection lost after sending
-    INVALID = "invalid"  # bytes that are no answer to the request
+    INVALID = "invalid"  # received bytes are not an answer to the request
     TIMED_OUT = "timed_out"
     CANCELLED = "cancelled"
 
@@ -67,16 +70,16 @@
     Parameters
     ----------
     data : bytes
-        The request as it is sent.
+        The encoded request.
     request_id : bytes
         Echoed by the endpoint.
     deadline_s : float
-        Loop time after which the connection is given up.
+        Loop time at which the request is aborted.
     on_end : callable
         ``on_end(call, answer)``, called once.
     reusable : bool
-        Whether a connection may be used that the endpoint may just be
-        closing.
+        Whether it may be sent on any idle connection, even if the endpoint
+        may be closing that.
     """
 
     __slots__ = (
@@ -109,8 +112,8 @@
         self.context = None
 
     def cancel(self):
-        """Give the request up; the endpoint sees its connection close."""
-        self.pool.give_up(self, Ending.CANCELLED)
+        """Abort the request; the endpoint sees its connection close."""
+        self.pool.abort_call(self, Ending.CANCELLED)
 
 
 class EndpointPool:
@@ -124,9 +127,9 @@
     id_header : bytes
         Lower-case name of the header that echoes the request's id.
     max_connections : int
-        Part of the endpoint's connections that this VM may use.
+        This VM's share of the endpoint's connections.
     on_event : callable
-        ``on_event(name)`` for counters.
+        ``on_event(name)``, called for events that are counted.
     """
 
     def __init__(self, loop, address, id_header, max_connections, on_event):
@@ -146,12 +149,12 @@
         self.max_idle_s = math.inf
 
     def open_idle(self):
-        """Open a connection that no request waits for."""
+        """Open a connection ahead of requests."""
         if not self.closed and self.count < self.max_connections:
             self._connect()
 
     def close_stale(self, now: float):
-        """Close connections that have been idle for longer than `keep_s`."""
+        """Close connections that were idle for longer than `max_idle_s`."""
         stale = [
             c for c in self.idle if now - c.idle_since_s > self.max_idle_s
         ]
@@ -165,7 +168,7 @@
         call.started_s = self.loop.time()
         call.timer = self.loop.call_later(
             max(0.0, call.deadline_s - call.started_s),
-            self.give_up,
+            self.abort_call,
             call,
             Ending.TIMED_OUT,
         )
@@ -173,7 +176,7 @@
         if self.closed:
             self.end(call, Answer(Ending.NOT_SENT))
             return
-        connection = self._take_idle(call)
+        connection = self._pop_idle(call)
         if connection is not None:
             connection.send(call)
             return
@@ -185,22 +188,25 @@
             self._connect()
 
     def has_room(self) -> bool:
-        """Tell whether a request would be sent without waiting."""
+        """Return whether a connection is idle or may be opened."""
         return bool(self.idle) or self.count < self.max_connections
 
     def get_oldest_age_s(self, now: float) -> float:
-        """Return for how long the oldest request in progress has run, s."""
+        """Return how long the oldest request has been in progress, in s.
+
+        0 if none is in progress.
+        """
         for started_s in self.running.values():
             return now - started_s
         return 0.0
 
-    def give_up(self, call: Call, ending: Ending):
+    def abort_call(self, call: Call, ending: Ending):
         """End a request without an answer."""
         if call.ended:
             return
         connection = call.connection
         if connection is None:
-            # Connections that were opened for it will serve others.
+            # A connection being opened for it will serve other requests.
             if call in self.waiting:
                 self.waiting.remove(call)
             withdrawn = ending is Ending.CANCELLED
@@ -210,8 +216,8 @@
         connection.call = None
         connection.transport.abort()
         if ending is Ending.TIMED_OUT:
-            # Whatever lost track of this connection may have lost the idle
-            # ones as well.
+            # A device on the path may have dropped the state of this
+            # connection, and of the idle ones as well.
             self._close_idle()
         self.end(call, Answer(ending))
 
@@ -221,7 +227,7 @@
             connection.transport.close()
 
     def end(self, call: Call, answer: Answer):
-        """Report the end of a request."""
+        """Report the end of a request to its `on_end`, once."""
         if call.ended:
             return
         call.ended = True
@@ -240,7 +246,7 @@
         self.waiting.clear()
 
     def release(self, connection):
-        """Take back a connection whose answer is complete."""
+        """Reuse a connection that has no request in progress."""
         if self.closed or connection.must_close:
             connection.transport.close()
             return
@@ -255,15 +261,15 @@
         connection.idle_since_s = now
         self.idle.append(connection)
 
-    def drop(self, connection):
-        """Forget a connection that was lost."""
+    def remove_connection(self, connection):
+        """Remove a lost connection."""
         self.count -= 1
         if connection in self.idle:
             self.idle.remove(connection)
         if self.waiting and self.count < self.max_connections:
             self._connect()
 
-    def _take_idle(self, call):
+    def _pop_idle(self, call):
         now = self.loop.time()
         while self.idle:
             connection = self.idle.pop()
@@ -273,7 +279,7 @@
             if age > connection.idle_limit_s:
                 connection.transport.close()
                 continue
-            if not call.reusable and age > FRESH_IDLE_S:
+            if not call.reusable and age > SINGLE_RUN_IDLE_LIMIT_S:
                 connection.transport.close()
                 continue
             return connection
@@ -311,7 +317,7 @@
             self.end(call, Answer(Ending.NOT_SENT))
 
     def connected(self, connection):
-        """Use a new connection."""
+        """Make a new connection available to requests."""
         self.release(connection)
 
 
@@ -325,7 +331,7 @@
         self.call = None
         self.must_close = False
         self.idle_since_s = 0.0
-        self.idle_limit_s = DEFAULT_IDLE_S
+        self.idle_limit_s = DEFAULT_IDLE_LIMIT_S
         self.headers = []
         self.value_by_name = {}
         self.body = []
@@ -335,7 +341,7 @@
         self.until_close = False
 
     def connection_made(self, transport):
-        """Note that the connection is open."""
+        """Add the open connection to the pool."""
         self.transport = transport
         self.pool.connected(self)
 
@@ -350,13 +356,13 @@
         self.transport.write(call.data)
 
     def pause_writing(self):
-        """Do nothing: a request is written at once and bounded."""
+        """Do nothing: a request is bounded and written in one call."""
 
     def resume_writing(self):
         """Do nothing."""
 
     def eof_received(self):
-        """End an answer that lasts until the endpoint closes."""
+        """Complete an answer that is delimited by the close."""
         call = self.call
         if call is not None and self.in_body and self.until_close:
             self.must_close = True
@@ -366,12 +372,12 @@
     def connection_lost(self, error):
         """Fail the request in progress."""
         call, self.call = self.call, None
-        self.pool.drop(self)
+        self.pool.remove_connection(self)
         if call is not None:
             self.pool.end(call, Answer(Ending.BROKEN))
 
     def data_received(self, data: bytes):
-        """Parse an answer; anything else ends the connection."""
+        """Parse an answer; unexpected bytes close the connection."""
         call = self.call
         if call is None:
             self.must_close = True
@@ -392,7 +398,7 @@
             self._finish()
 
     def on_message_begin(self):
-        """Start an answer, or note that there is one too many."""
+        """Start an answer; a surplus one closes the connection later."""
         if self.complete:
             self.must_close = True
             return
@@ -402,14 +408,14 @@
         self.body_bytes = 0
 
     def on_header(self, name: bytes, value: bytes):
-        """Take one header."""
+        """Append one header."""
         if not self.complete:
             name = name.lower()
             self.headers.append((name, value))
             self.value_by_name.setdefault(name, value)
 
     def on_headers_complete(self):
-        """Find out how the answer ends, and if it is kept alive."""
+        """Determine how the answer is delimited and the keep-alive limit."""
         if self.complete:
             return
         self.in_body = True
@@ -425,16 +431,16 @@
             self._read_keep_alive(values[b"keep-alive"])
 
     def on_body(self, body: bytes):
-        """Take a piece of the body."""
+        """Append a piece of the body."""
         if self.complete:
             return
         self.body_bytes += len(body)
         if self.body_bytes > MAX_ANSWER_BYTES:
-            raise ValueError("answer is too large")
+            raise ValueError(f"answer exceeds {MAX_ANSWER_BYTES} bytes")
         self.body.append(body)
 
     def on_message_complete(self):
-        """Note the end of the answer."""
+        """Mark the answer as complete, unless it is an interim one."""
         if self.complete:
             return
         if self.parser.get_status_code() < 200:
@@ -442,8 +448,8 @@
             return
         self.complete = True
         if self.until_close and not self.must_close:
-            # No length and no chunks: only an answer without a body, such
-            # as 204, ends here while the connection stays.
+            # With neither a length nor chunks, only an answer that has no
+            # body (204, 304) leaves the connection usable.
             self.must_close = self.parser.get_status_code() not in (204, 304)
 
     def _read_keep_alive(self, value: bytes):
