--- a/chervilspindle/wire/http_api.py
+++ b/chervilspindle/wire/http_api.py
@@ -1,4 +1,7 @@
-"""HTTP interface of an entry: callers, endpoints, operators, platform."""
+"""HTTP interface of an entry for callers, endpoints and operators.
+
+It also serves the health, readiness and metrics paths for the platform.
+"""
 
 import json
 import logging
@@ -44,19 +47,19 @@
 
 
 class LimitedRequest(server.Request):
-    """Refuses a body over the limit before it is read."""
+    """Rejects a body over the limit before it is read completely."""
 
     refused = False
 
     def gotLength(self, length):
-        """Check the announced length."""
+        """Check the length stated in the header."""
         if length is not None and length > MAX_BODY_BYTES:
             self._refuse()
         else:
             super().gotLength(length)
 
     def handleContentChunk(self, data):
-        """Check the length that has arrived."""
+        """Check the length received so far."""
         if self.refused:
             return
         if self.content.tell() + len(data) > MAX_BODY_BYTES:
@@ -71,16 +74,16 @@
 
 
 class LimitedChannel(http.HTTPChannel):
-    """Answers a line of the head that is over the limit."""
+    """Rejects a request with a header line over the limit."""
 
     def lineLengthExceeded(self, line):
-        """Refuse the request and close the connection."""
+        """Answer 413 and close the connection."""
         detail = f"a header line is longer than {self.MAX_LENGTH} bytes"
         refuse_too_large(self, detail, "header")
 
 
 def refuse_too_large(channel, detail: str, source: str):
-    """Answer a request that is not read to its end, then close."""
+    """Answer 413 without reading the rest of the request, then close."""
     problem = errors.build_problem(
         errors.ErrorKind.TOO_LARGE, detail, source=source
     )
@@ -95,7 +98,7 @@
 
 
 class HttpApi:
-    """Routes of one entry.
+    """HTTP routes of one entry.
 
     Parameters
     ----------
@@ -151,7 +154,7 @@
 
     @app.route("/v1/announce", methods=["POST"])
     def handle_announcement(self, request):
-        """Take in an endpoint's announcement."""
+        """Record an endpoint's announcement."""
         if self.announcer_by_name:
             self._check_token(request, self.announcer_by_name)
         body = requests.decode_body(request.content.read(), Announcement)
@@ -161,7 +164,7 @@
 
     @app.route("/v1/config", methods=["GET"])
     def show_config(self, request):
-        """Return the two lists that are in force here."""
+        """Return the lists of customers and plans in effect on this VM."""
         self._check_token(request, self.operator_by_name)
         if not self.entry.session.is_valid():
             raise errors.build_error(
@@ -174,7 +177,7 @@
     @app.route("/v1/config", methods=["PUT"])
     @defer.inlineCallbacks
     def apply_config(self, request):
-        """Replace the two lists."""
+        """Replace the lists of customers and plans."""
         self._check_token(request, self.operator_by_name)
         if_revision = read_revision(request.getHeader("if-match"))
         change_id = read_change_id(request.getHeader("change-id"))
@@ -191,7 +194,7 @@
     @app.route("/v1/status", methods=["GET"])
     @defer.inlineCallbacks
     def show_status(self, request):
-        """Return how the system stands."""
+        """Return the status of the system."""
         self._check_token(request, self.operator_by_name)
         reply = yield self.entry.get_status()
         return _write_bytes(request, 200, reply.body)
@@ -199,23 +202,24 @@
     @app.route("/v1/explain/<request_id>", methods=["GET"])
     @defer.inlineCallbacks
     def explain(self, request, request_id):
-        """Return what was decided for a request."""
+        """Return the recorded decisions for a request."""
         self._check_token(request, self.operator_by_name)
         body = yield self.entry.explain_request(request_id)
         if not body:
             raise errors.build_error(
-                errors.ErrorKind.UNKNOWN_REQUEST, "no such request is known"
+                errors.ErrorKind.UNKNOWN_REQUEST,
+                "no request with this ID is recorded",
             )
         return _write_bytes(request, 200, body)
 
     @app.route("/healthz", methods=["GET"])
     def show_health(self, request):
-        """Tell that the process is alive."""
+        """Report that the process is alive."""
         return _write_json(request, 200, {"alive": True})
 
     @app.route("/readyz", methods=["GET"])
     def show_readiness(self, request):
-        """Tell the balancer whether to send callers here."""
+        """Tell the load balancer whether to route callers to this VM."""
         ready = self.entry.is_ready()
         return _write_json(request, 200 if ready else 503, {"ready": ready})
 
@@ -229,7 +233,7 @@
 
     @app.handle_errors(Exception)
     def answer_error(self, request, failure):
-        """Turn any failure into problem JSON."""
+        """Answer any failure with a JSON problem document."""
         problem = read_failure(failure)
         answer = errors.ANSWER_BY_KIND[problem.kind]
         if problem.retry_after_ms:
@@ -249,27 +253,32 @@
         if tokens.verify_token(token, row_by_name) is None:
             raise errors.build_error(
                 errors.ErrorKind.UNAUTHENTICATED,
-                "the bearer token is not known here",
+                "the bearer token is not valid for this path",
                 source="header Authorization",
             )
 
 
 def read_failure(failure) -> errors.Problem:
-    """Return the problem of a failure, without its inner details."""
+    """Return the problem to report for a failure.
+
+    Details of unexpected exceptions are logged, not returned to the caller.
+    """
     if failure.check(errors.ProblemError):
         return failure.value.problem
     if failure.check(werkzeug_exceptions.HTTPException):
         return errors.build_problem(
             errors.ErrorKind.UNKNOWN_PATH,
-            "no such path or method",
+            "the path does not exist or does not support this method",
             source="request line",
         )
-    LOGGER.error("request failed: %s", failure.getTraceback())
+    LOGGER.error(
+        "request handler raised an exception: %s", failure.getTraceback()
+    )
     return errors.build_problem(errors.ErrorKind.INTERNAL, "internal error")
 
 
 def encode_answer(answer) -> bytes:
-    """Encode the body of a query's answer."""
+    """Encode the response body of a query as JSON."""
     total = len(answer.results) + len(answer.missing)
     body = {
         "request_id": answer.request_id,
@@ -300,12 +309,12 @@
 
 
 def build_endpoint(body: Announcement) -> rows.Endpoint:
-    """Check an announcement and build its row.
+    """Validate an announcement and build its row.
 
     Raises
     ------
     ProblemError
-        MALFORMED, with the place.
+        MALFORMED, with the JSON path of the first invalid field as source.
     """
     for place, mistake in list_mistakes(body):
         raise errors.build_error(
@@ -326,10 +335,10 @@
 
 
 def list_mistakes(body: Announcement):
-    """Yield (place, mistake) for each mistake of an announcement."""
+    """Yield (field path, message) for each invalid field."""
     for name in ("endpoint", "service", "zone"):
         if not 0 < len(getattr(body, name)) <= MAX_NAME_CHARACTERS:
-            yield name, "is empty or too long"
+            yield name, f"must have 1 to {MAX_NAME_CHARACTERS} characters"
     if not body.address.rpartition(":")[2].isdigit():
         yield "address", "must be IP:PORT"
     if body.slots < 1:
@@ -339,10 +348,13 @@
     if body.state not in ("warming", "ready", "draining"):
         yield "state", "must be warming, ready or draining"
     if len(body.holdings) > MAX_HOLDINGS:
-        yield "holdings", "has too many rows"
+        yield "holdings", f"must have at most {MAX_HOLDINGS} rows"
     for index, row in enumerate(body.holdings):
         if not 0 <= row.low < row.high <= rows.KEY_SPACE:
-            yield f"holdings[{index}]", "is not a range of the key space"
+            yield (
+                f"holdings[{index}]",
+                f"must have 0 <= low < high <= {rows.KEY_SPACE}",
+            )
 
 
 def read_revision(header: str | None) -> int:
@@ -365,7 +377,7 @@
     if not 0 < len(text) <= MAX_NAME_CHARACTERS:
         raise errors.build_error(
             errors.ErrorKind.MALFORMED,
-            "must have 1 to 200 characters",
+            f"must have 1 to {MAX_NAME_CHARACTERS} characters",
             source="header Change-Id",
         )
     return text
@@ -377,13 +389,15 @@
     Raises
     ------
     ProblemError
-        MALFORMED, naming the place of each mistake.
+        MALFORMED, with the location of each error.
     """
     try:
         text = data.decode()
     except UnicodeDecodeError as error:
         raise errors.build_error(
-            errors.ErrorKind.MALFORMED, "body is not UTF-8", source="body"
+            errors.ErrorKind.MALFORMED,
+            "body is not valid UTF-8",
+            source="body",
         ) from error
     document, mistakes = jsonc.parse_text(text, "body")
     parsed = None
@@ -399,7 +413,10 @@
 
 
 def _close_after_answer(request):
-    """Send the caller to another VM before this one closes its port."""
+    """Close the connection after the answer.
+
+    The caller then reconnects to another VM before this one closes its port.
+    """
     channel = request.channel
     request.setHeader("Connection", "close")
     finished = request.notifyFinish()
