--- a/chervilspindle/wire/endpoint_client.py
+++ b/chervilspindle/wire/endpoint_client.py
@@ -1,9 +1,9 @@
-"""HTTP client of one endpoint, over kept-alive connections.
+"""HTTP client of one endpoint, over persistent connections.
 
-Work is sent with the agent that treq wraps: treq's handling of URLs,
-cookies and redirects took a quarter of the time of a request and serves
-nothing here. Requests are never repeated by the HTTP library: whether a
-request may run again is decided by the callers of this module alone.
+Requests to run are sent with the Twisted agent that treq wraps: treq's
+handling of URLs, cookies and redirects took a quarter of the time of a request
+and is not needed. The HTTP library never retries requests: only the callers of
+this module decide whether a request may run again.
 """
 
 import typing
@@ -33,7 +33,7 @@
 
 
 class RunResult(typing.NamedTuple):
-    """How an endpoint answered.
+    """Result of a request to an endpoint.
 
     Parameters
     ----------
@@ -55,7 +55,7 @@
 
 
 class RunBody(msgspec.Struct):
-    """Body of an endpoint's answer."""
+    """Response body of an endpoint."""
 
     request_id: str = ""
     snapshot: int = 0
@@ -66,7 +66,7 @@
 
 
 class RunState(msgspec.Struct):
-    """What an endpoint says of an earlier request."""
+    """State of an earlier request, as reported by its endpoint."""
 
     state: str
     result: RunBody | None = None
@@ -79,7 +79,7 @@
 
 @zope.interface.implementer(iweb.IAgentEndpointFactory)
 class Dialler:
-    """Connects to IP addresses, without looking up a name."""
+    """Connects to IP addresses without name resolution."""
 
     def __init__(self, reactor):
         self.reactor = reactor
@@ -96,7 +96,7 @@
 
 @zope.interface.implementer(iweb.IBodyProducer)
 class BytesProducer:
-    """Writes the body of a request at once.
+    """Writes the body of a request in one call.
 
     Parameters
     ----------
@@ -108,7 +108,7 @@
         self.length = len(body)
 
     def startProducing(self, consumer):
-        """Write all of it."""
+        """Write the whole body."""
         consumer.write(self.body)
         return defer.succeed(None)
 
@@ -131,12 +131,12 @@
     address : str
         ``IP:PORT``.
     connections : int
-        Most connections to keep.
+        Maximum number of persistent connections.
     """
 
     def __init__(self, reactor, address: str, connections: int):
         self.reactor = reactor
-        # Parsing a URL costs more than sending it.
+        # Parsing a URL takes longer than sending it, so URLs are built once.
         self.base = hyperlink.DecodedURL.from_text(f"http://{address}/")
         self.url_by_path = {
             path: f"http://{address}/{path}".encode()
@@ -147,9 +147,10 @@
         self.pool.retryAutomatically = False
         self.pool.cachedConnectionTimeout = IDLE_CONNECTION_S
         self.agent = self._build_agent(self.pool)
-        self.kept = treq.client.HTTPClient(self.agent)
-        # Probes need a connection that no silent middlebox has a hold on.
-        self.fresh = treq.client.HTTPClient(
+        self.persistent_client = treq.client.HTTPClient(self.agent)
+        # Probes use new connections, since a middlebox may silently have
+        # dropped the state of an existing one.
+        self.probe_client = treq.client.HTTPClient(
             self._build_agent(
                 web_client.HTTPConnectionPool(reactor, persistent=False)
             )
@@ -173,7 +174,7 @@
         return self._run("run", run_id, body, deadline_ms)
 
     def run_command(self, run_id, key, command, deadline_ms):
-        """Run one non-idempotent request, sent once."""
+        """Send one non-idempotent request, without retries."""
         body = {
             "request_id": run_id,
             "key": key,
@@ -183,23 +184,25 @@
 
     @defer.inlineCallbacks
     def cancel(self, run_id: str):
-        """Ask the endpoint to end a request; failures are ignored."""
+        """Ask the endpoint to cancel a request; failures are ignored."""
         try:
-            response = yield self.kept.delete(self._build_run_url(run_id))
+            response = yield self.persistent_client.delete(
+                self._build_run_url(run_id)
+            )
             yield treq.content(response)
         except Exception:
             return
 
     @defer.inlineCallbacks
     def probe(self, run_id: str):
-        """Ask on a fresh connection what became of a request.
+        """Ask for the state of a request, on a new connection.
 
         Returns
         -------
         Deferred of RunState or None
-            None if the endpoint can't be reached.
+            None if the endpoint gave no valid answer in time.
         """
-        request = self.fresh.get(self._build_run_url(run_id))
+        request = self.probe_client.get(self._build_run_url(run_id))
         request.addTimeout(PROBE_TIMEOUT_S, self.reactor)
         try:
             response = yield request
@@ -209,7 +212,7 @@
             return None
 
     def close(self):
-        """Close the connections that no request uses."""
+        """Close idle connections."""
         self.pool.closeCachedConnections()
 
     def _build_run_url(self, run_id):
@@ -241,9 +244,9 @@
 
 
 def read_answer(code: int, data: bytes, run_id: str) -> RunResult:
-    """Turn an HTTP answer into a result.
+    """Decode an HTTP response into a result.
 
-    An answer that names another request is a failure, never a result.
+    A response that names another request counts as a lost connection.
     """
     try:
         body = _BODY.decode(data)
@@ -263,7 +266,7 @@
 
 
 def read_state(data: bytes) -> RunState:
-    """Turn the answer to a probe into a state, with an `ErrorKind` if any.
+    """Decode the answer to a probe; its kind becomes an `ErrorKind` value.
 
     Raises
     ------
@@ -276,7 +279,7 @@
 
 
 def read_kind(endpoint_kind: str) -> str:
-    """Return the value of the `ErrorKind` that an endpoint's word means."""
+    """Return the `ErrorKind` value for an error kind of an endpoint."""
     kind = _KIND_BY_ENDPOINT_KIND.get(
         endpoint_kind, errors.ErrorKind.CONNECTION_LOST
     )
