--- a/chervilspindle/wire/__init__.py
+++ b/chervilspindle/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Messages and transports towards peers, callers and endpoints."""
+"""Messages and transports between peers, callers and endpoints."""
--- a/chervilspindle/wire/nng.py
+++ b/chervilspindle/wire/nng.py
@@ -1,10 +1,10 @@
 """Replication transport between control members, over nng push and pull.
 
 Every member listens on one pull socket and dials one push socket to each
-other member. nng reconnects on its own and hides lost connections, which
-suits a protocol that expects messages to be lost; a full send queue drops
-the message. The pull socket's file descriptor is read by the reactor, so
-that all work stays on the one loop.
+other member. nng reconnects by itself and does not report lost connections,
+which is sufficient because the replication protocol tolerates lost messages; a
+message is dropped if the send queue is full. The reactor reads the pull
+socket's file descriptor, so that all work runs on one event loop.
 """
 
 import hashlib
@@ -16,11 +16,11 @@
 import zope.interface
 
 TAG_BYTES = 16
-SEND_QUEUE = 128  # messages
+SEND_QUEUE_MESSAGES = 128
 RECONNECT_MIN_MS = 50
 RECONNECT_MAX_MS = 500
 RECEIVE_LIMIT_BYTES = 64 * 1024 * 1024
-RECEIVE_BURST = 64  # messages a turn of the loop
+MAX_MESSAGES_PER_READ = 64  # per iteration of the event loop
 
 LOGGER = logging.getLogger(__name__)
 
@@ -34,7 +34,7 @@
     reactor : IReactorFDSet
     shared_key : bytes
     handler : callable
-        Gets the bytes of each message that passed the check.
+        ``handler(data)``, called with each authenticated message.
     """
 
     def __init__(self, reactor, shared_key: bytes, handler):
@@ -52,14 +52,17 @@
         self.reactor.addReader(self)
 
     def send(self, address: str, data: bytes):
-        """Send to a member; silently dropped if its queue is full."""
+        """Send to a member; the message is dropped if the queue is full."""
         socket = self.push_by_address.get(address)
         if socket is None:
             socket = self._dial(address)
         try:
             socket.send(self._compute_tag(data) + data, block=False)
         except pynng.TryAgain:
-            LOGGER.debug("message dropped", extra={"address": address})
+            LOGGER.debug(
+                "send queue full; replication message dropped",
+                extra={"address": address},
+            )
 
     def close(self):
         """Close all sockets."""
@@ -70,16 +73,16 @@
             socket.close()
 
     def fileno(self) -> int:
-        """Return the descriptor that is readable while messages wait."""
+        """Return the descriptor that is readable while messages are queued."""
         return self.descriptor
 
     def logPrefix(self) -> str:
-        """Return the name of this reader in reactor messages."""
+        """Return the name of this reader in the reactor's log messages."""
         return "nng"
 
     def doRead(self):
-        """Take the waiting messages, at most one burst."""
-        for _ in range(RECEIVE_BURST):
+        """Receive queued messages, at most `MAX_MESSAGES_PER_READ`."""
+        for _ in range(MAX_MESSAGES_PER_READ):
             try:
                 data = self.pull.recv(block=False)
             except pynng.TryAgain:
@@ -94,11 +97,13 @@
         if hmac.compare_digest(tag, self._compute_tag(body)):
             self.handler(body)
         else:
-            LOGGER.warning("replication message refused")
+            LOGGER.warning(
+                "replication message failed authentication; dropped"
+            )
 
     def _dial(self, address: str):
         socket = pynng.Push0(
-            send_buffer_size=SEND_QUEUE,
+            send_buffer_size=SEND_QUEUE_MESSAGES,
             reconnect_time_min=RECONNECT_MIN_MS,
             reconnect_time_max=RECONNECT_MAX_MS,
         )
--- a/chervilspindle/wire/streams.py
+++ b/chervilspindle/wire/streams.py
@@ -1,10 +1,9 @@
-"""Byte streams of an asyncio loop for framed protocols of Twisted.
+"""Byte streams of an asyncio loop for framed Twisted protocols.
 
-Twisted's own sockets on a uvloop loop go through poll handles, which uvloop
-closes by itself when a socket fails; from then on each write raises and the
-connection is never reported as lost. Processes that run on uvloop therefore
-use the loop's own transports under the same protocols;
-`reactor_streams` serves all others.
+On a uvloop loop, Twisted's sockets use poll handles, which uvloop closes when
+a socket fails; from then on each write raises and the connection is never
+reported as lost. Processes on uvloop therefore run the same protocols on the
+loop's own transports; all other processes use `reactor_streams`.
 """
 
 import asyncio
@@ -63,7 +62,7 @@
 
 
 class _Stream(asyncio.Protocol):
-    """Passes events of an asyncio transport to a Twisted protocol."""
+    """Adapts an asyncio transport to a Twisted protocol."""
 
     def __init__(self, inner):
         self.inner = inner
@@ -80,10 +79,11 @@
         reason = error or internet_error.ConnectionDone()
         self.inner.connectionLost(failure_module.Failure(reason))
 
-    # What framed protocols ask of a Twisted transport.
+    # Methods of a Twisted transport that framed protocols call.
 
     def write(self, data):
-        # uvloop raises on a write between a loss and its report.
+        # uvloop raises on a write after a connection is lost but before
+        # connection_lost is called.
         if not self.transport.is_closing():
             self.transport.write(data)
 
@@ -94,4 +94,4 @@
         self.transport.abort()
 
     def setTcpNoDelay(self, enabled):
-        """Do nothing: asyncio's TCP transports never delay."""
+        """Do nothing: asyncio sets TCP_NODELAY on its TCP transports."""
--- a/chervilspindle/wire/streams_test.py
+++ b/chervilspindle/wire/streams_test.py
@@ -12,7 +12,7 @@
 
 
 class Recorder(basic.Int32StringReceiver):
-    """Keeps what arrives."""
+    """Records received frames and lost connections."""
 
     def __init__(self):
         self.received = []
@@ -50,10 +50,10 @@
 
 
 def find_address():
-    """Return a free address that no other test or client uses.
+    """Return a free address on a random loopback host.
 
-    On 127.0.0.1 a port that was free a moment ago may have gone to another
-    test process or to an outgoing connection of one.
+    On 127.0.0.1, a port that was free when probed may since have been taken by
+    another test process, or by an outgoing connection of one.
     """
     draw = random.SystemRandom()
     host = ".".join(["127", *(str(draw.randrange(1, 255)) for _ in "abc")])
@@ -62,7 +62,7 @@
         return f"{host}:{probe.getsockname()[1]}"
 
 
-def test_frames_pass_both_ways():
+def test_frames_are_delivered_both_ways():
     async def test(loop):
         factory, address, client = Factory(), find_address(), Recorder()
         listening = streams.LoopStreams(loop).listen(address, factory)
@@ -83,7 +83,7 @@
 
 
 def test_a_reset_is_reported_and_writes_do_not_raise():
-    """On poll handles a reset was never reported and each write raised."""
+    """With poll handles a reset was never reported and each write raised."""
 
     async def test(loop):
         listener = socket.create_server(("127.0.0.1", 0))
