--- a/chervilspindle/wire/http_server.py
+++ b/chervilspindle/wire/http_server.py
@@ -340,8 +340,8 @@
     def _refuse(self, status, reason):
         """Reject an unreadable request, after the answer in progress.
 
-        With an answer in progress, the connection closes after that answer
-        and the rejected request gets no answer of its own.
+        With an answer in progress, the connection closes after that answer;
+        queued requests and the rejected one get no answer.
         """
         if self.refused:
             return
--- a/chervilspindle/wire/messages.py
+++ b/chervilspindle/wire/messages.py
@@ -88,7 +88,7 @@
 
 
 class Leave(typing.NamedTuple):
-    """Ends a session that no longer owns any endpoint."""
+    """Ends a session that holds neither endpoints nor work any longer."""
 
     session: str
 
