--- a/chervilspindle/platform/__init__.py
+++ b/chervilspindle/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter to the platform that the users run: names, formats, addresses."""
+"""Adapter to the platform: decodes its names, formats and addresses."""
--- a/chervilspindle/platform/__main__.py
+++ b/chervilspindle/platform/__main__.py
@@ -1,4 +1,4 @@
-"""Starts one process on the platform: an entry or a control member."""
+"""Runs one process on the platform: an entry or a control member."""
 
 import logging
 import os
@@ -17,11 +17,14 @@
 
 
 def read_settings():
-    """Read the settings that the platform placed for this process.
+    """Read the settings file that the environment variable names.
 
     Raises
     ------
+    KeyError
+        If the environment variable is not set.
     OSError, ValueError
+        If the file cannot be read or is invalid.
     """
     with open(os.environ[names.SETTINGS_VARIABLE], "rb") as handle:
         return settings_module.decode_settings(handle.read())
@@ -35,14 +38,14 @@
     int
         Exit code.
     """
-    # Until the loop handles it, a request to stop ends the start cleanly.
+    # Exits cleanly on SIGTERM until the event loop installs its own handler.
     signal.signal(signal.SIGTERM, lambda number, frame: sys.exit(0))
     stream = log_output.NonBlockingStream(sys.stdout.fileno())
     try:
         settings = read_settings()
     except (KeyError, OSError, ValueError) as error:
         logs.configure_logging("", stream=stream)
-        logging.getLogger(__name__).error("settings not read: %s", error)
+        logging.getLogger(__name__).error("settings cannot be read: %s", error)
         return EXIT_SETTINGS
     logs.configure_logging(settings.vm_id, stream=stream)
     logging.getLogger().handlers[0].addFilter(log_output.VolumeLimiter())
--- a/chervilspindle/platform/control_api.py
+++ b/chervilspindle/platform/control_api.py
@@ -1,4 +1,4 @@
-"""What endpoints and operators call: announcements and the configuration."""
+"""HTTP API of a control member: endpoint announcements, configuration."""
 
 import functools
 import logging
@@ -21,7 +21,7 @@
 
 
 class Announcement(msgspec.Struct):
-    """What an endpoint says of itself."""
+    """An endpoint's announcement of its address, capacity and state."""
 
     service: str
     address: str
@@ -29,13 +29,13 @@
     slots: int = msgspec.field(name="concurrency-limit")
     state: str
     sequence: int
-    # How much longer the endpoint is slow after its start.
+    # Time until the endpoint has warmed up after its start.
     cold_ms: float = msgspec.field(default=0.0, name="cold-left-ms")
-    # Wall time of the endpoint's start in ms; 0 if it does not say.
-    born: int = 0
+    # Wall-clock time of the endpoint's start; 0 if not announced.
+    started_ms: int = msgspec.field(default=0, name="born")
 
 
-_ANNOUNCEMENT = msgspec.json.Decoder(Announcement)
+_ANNOUNCEMENT_DECODER = msgspec.json.Decoder(Announcement)
 
 
 def decode_announcement(endpoint_id: str, data: bytes) -> rows.Endpoint:
@@ -44,46 +44,48 @@
     Raises
     ------
     ValueError
-        Says what can't be used.
+        If a field is missing, of another type or out of range.
     """
-    found = _ANNOUNCEMENT.decode(data)
-    state = names.STATE_BY_WORD.get(found.state)
+    announcement = _ANNOUNCEMENT_DECODER.decode(data)
+    state = names.STATE_BY_PLATFORM_STATE.get(announcement.state)
     if state is None:
-        raise ValueError(f"unknown state {found.state!r}")
-    host, colon, port = found.address.rpartition(":")
+        raise ValueError(f"unknown state {announcement.state!r}")
+    host, colon, port = announcement.address.rpartition(":")
     if not (host and colon and port.isdigit()):
-        raise ValueError(f"address {found.address!r} is not IP:PORT")
-    if found.slots < 1 or not found.service:
-        raise ValueError("no slots or no service")
-    if state == "ready" and found.cold_ms > 0:
+        raise ValueError(f"address {announcement.address!r} is not IP:PORT")
+    if announcement.slots < 1 or not announcement.service:
+        raise ValueError(
+            "concurrency-limit must be at least 1, service not empty"
+        )
+    if state == "ready" and announcement.cold_ms > 0:
         state = "warming"
     return rows.Endpoint(
         endpoint_id=endpoint_id,
-        service=found.service,
-        address=found.address,
-        zone=found.zone,
-        slots=found.slots,
+        service=announcement.service,
+        address=announcement.address,
+        zone=announcement.zone,
+        slots=announcement.slots,
         connections=0,
         state=state,
         holdings=(),
-        incarnation=found.born,
-        sequence=found.sequence,
+        incarnation=announcement.started_ms,
+        sequence=announcement.sequence,
     )
 
 
 class ControlApi:
-    """Handler of the control address.
+    """Handles HTTP requests to the control address.
 
     Parameters
     ----------
-    desk : desk.Desk
+    frontend : frontend.ControlFrontend
     """
 
     def __init__(self, frontend):
         self.frontend = frontend
 
     def handle(self, exchange):
-        """Answer one call."""
+        """Answer one request."""
         request = exchange.request
         path = request.target.partition(b"?")[0]
         if path == names.DOCUMENT_PATH:
@@ -103,19 +105,19 @@
         try:
             document = platform_documents.decode_document(data)
         except ValueError as error:
-            _refuse(exchange, "document", str(error))
+            _respond_bad_request(exchange, "document", str(error))
             return
-        found = documents.check_document(document)
-        if found:
-            text = "; ".join(f"{e.place}: {e.message}" for e in found[:5])
-            _refuse(exchange, "document", text)
+        mistakes = documents.check_document(document)
+        if mistakes:
+            text = "; ".join(f"{m.place}: {m.message}" for m in mistakes[:5])
+            _respond_bad_request(exchange, "document", text)
             return
         stored = rows.StoredDocument(document.version, data)
         deferred = self.frontend.apply_document(stored)
-        deferred.addCallback(self._accept_document, exchange, stored)
-        deferred.addErrback(_fail, exchange, "document")
+        deferred.addCallback(self._confirm_document, exchange, stored)
+        deferred.addErrback(_respond_unavailable, exchange, "document")
 
-    def _accept_document(self, reply, exchange, stored):
+    def _confirm_document(self, reply, exchange, stored):
         logs.log_decision(
             "document-accepted",
             version=stored.version,
@@ -125,67 +127,69 @@
 
     def _get_document(self, exchange):
         deferred = self.frontend.read_document()
-        deferred.addCallback(_send_document, exchange)
-        deferred.addErrback(_fail, exchange, "read")
+        deferred.addCallback(_respond_document, exchange)
+        deferred.addErrback(_respond_unavailable, exchange, "read")
 
     def _announce(self, exchange):
         try:
-            endpoint_id = _read_id(exchange)
+            endpoint_id = _parse_endpoint_id(exchange)
             endpoint = decode_announcement(endpoint_id, exchange.request.body)
         except ValueError as error:
-            _refuse(exchange, "announcement", str(error))
+            _respond_bad_request(exchange, "announcement", str(error))
             return
         deferred = self.frontend.announce(endpoint)
-        deferred.addCallback(_acknowledge, exchange)
-        deferred.addErrback(_fail, exchange, "announcement")
+        deferred.addCallback(_respond_ok, exchange)
+        deferred.addErrback(_respond_unavailable, exchange, "announcement")
 
     def _withdraw(self, exchange):
         try:
-            endpoint_id = _read_id(exchange)
+            endpoint_id = _parse_endpoint_id(exchange)
         except ValueError as error:
-            _refuse(exchange, "withdrawal", str(error))
+            _respond_bad_request(exchange, "withdrawal", str(error))
             return
         deferred = self.frontend.withdraw(endpoint_id)
-        deferred.addCallback(_acknowledge, exchange)
-        deferred.addErrback(_fail, exchange, "withdrawal")
+        deferred.addCallback(_respond_ok, exchange)
+        deferred.addErrback(_respond_unavailable, exchange, "withdrawal")
 
 
 def build_handler(frontend):
-    """Build the handler of a control member's address."""
+    """Build the request handler of a control member's HTTP address."""
     return functools.partial(ControlApi.handle, ControlApi(frontend))
 
 
-def _read_id(exchange) -> str:
+def _parse_endpoint_id(exchange) -> str:
     path = exchange.request.target.partition(b"?")[0]
     encoded = path[len(names.ENDPOINT_PREFIX) :]
     if not encoded or len(encoded) > MAX_ID_BYTES:
-        raise ValueError("no id, or one that is too long")
+        raise ValueError(
+            f"encoded endpoint id must have 1 to {MAX_ID_BYTES} bytes"
+        )
     return urllib.parse.unquote(encoded.decode("ascii"))
 
 
-def _acknowledge(_, exchange):
+def _respond_ok(_, exchange):
     exchange.respond(200, JSON_HEADERS, b"{}")
 
 
-def _send_document(stored, exchange):
+def _respond_document(stored, exchange):
     if stored.version < 0:
         exchange.respond(404, JSON_HEADERS, b"{}")
         return
     exchange.respond(200, JSON_HEADERS, stored.data)
 
 
-def _refuse(exchange, what, reason):
-    logs.log_decision("call-refused", call=what, status=400, why=reason)
+def _respond_bad_request(exchange, call, reason):
+    logs.log_decision("call-refused", call=call, status=400, why=reason)
     body = msgspec.json.encode({"error": reason})
     exchange.respond(400, JSON_HEADERS, body)
 
 
-def _fail(failure, exchange, what):
+def _respond_unavailable(failure, exchange, call):
     if failure.check(errors.ProblemError):
         reason = failure.value.problem.detail
     else:
-        LOGGER.error("call failed: %s", failure.getTraceback())
+        LOGGER.error("control API request failed: %s", failure.getTraceback())
         reason = "internal error"
-    logs.log_decision("call-failed", call=what, status=503, why=reason)
+    logs.log_decision("call-failed", call=call, status=503, why=reason)
     body = msgspec.json.encode({"error": reason})
     exchange.respond(503, JSON_HEADERS + (RETRY_AFTER,), body)
--- a/chervilspindle/platform/documents.py
+++ b/chervilspindle/platform/documents.py
@@ -1,4 +1,4 @@
-"""Decodes the operator's configuration to a routing document."""
+"""Converts an operator's configuration to a routing document."""
 
 import msgspec
 
@@ -7,20 +7,20 @@
 
 
 class Split(msgspec.Struct):
-    """One part of a weighted route."""
+    """A service of a weighted route and its weight."""
 
     service: str
     weight: float
 
 
 class Route(msgspec.Struct):
-    """A route as operators write it."""
+    """A route in the operator's configuration."""
 
     name: str
     host: str = msgspec.field(name="hostname")
     prefix: str = msgspec.field(name="path-prefix")
-    # Says what may be repeated, not which kind of forwarding it is.
-    repeats: str = msgspec.field(name="route-type")
+    # Whether requests are idempotent, not how they are forwarded.
+    route_type: str = msgspec.field(name="route-type")
     timeout_ms: float = msgspec.field(name="timeout-ms")
     objective_ms: float = msgspec.field(default=0.0, name="slo-ms")
     priority: int = 0
@@ -33,7 +33,7 @@
 
 
 class Service(msgspec.Struct):
-    """A service as operators write it."""
+    """A service in the operator's configuration."""
 
     name: str
     health_path: str = msgspec.field(default="/health", name="health-path")
@@ -41,7 +41,7 @@
 
 
 class Limits(msgspec.Struct):
-    """Bounds on callers."""
+    """Limits on the size and duration of incoming requests."""
 
     header_bytes: int = msgspec.field(default=16384, name="header-max-bytes")
     body_bytes: int = msgspec.field(default=262144, name="body-max-bytes")
@@ -50,7 +50,7 @@
 
 
 class Configuration(msgspec.Struct):
-    """A whole configuration."""
+    """The operator's complete configuration."""
 
     version: int
     routes: tuple[Route, ...]
@@ -62,21 +62,21 @@
 
 
 def decode_document(data: bytes) -> documents.Document:
-    """Decode a configuration; what it says is not checked.
+    """Decode a configuration without checking it for consistency.
 
     Raises
     ------
     ValueError
-        Names the field that can't be read.
+        If a field cannot be decoded; the message names it.
     """
-    found = _DECODER.decode(data)
-    limits = found.limits
+    configuration = _DECODER.decode(data)
+    limits = configuration.limits
     return documents.Document(
-        found.version,
-        tuple(_convert_route(route) for route in found.routes),
+        configuration.version,
+        tuple(_convert_route(route) for route in configuration.routes),
         {
             s.name: documents.Service(s.name, s.health_path, s.connections)
-            for s in found.services
+            for s in configuration.services
         },
         documents.Limits(
             limits.header_bytes,
@@ -97,7 +97,7 @@
         name=route.name,
         host=route.host.lower(),
         prefix=route.prefix,
-        idempotent=route.repeats == names.IDEMPOTENT_TYPE,
+        idempotent=route.route_type == names.IDEMPOTENT_TYPE,
         timeout_ms=route.timeout_ms,
         objective_ms=route.objective_ms,
         priority=route.priority,
--- a/chervilspindle/platform/files.py
+++ b/chervilspindle/platform/files.py
@@ -1,4 +1,4 @@
-"""Checks files of the platform before they are put in place."""
+"""Checks platform settings and configuration files before deployment."""
 
 import msgspec
 
@@ -11,14 +11,14 @@
 
 
 def is_platform_file(document) -> bool:
-    """Tell whether a parsed file is settings or a document of the platform."""
+    """Return whether a parsed file is platform settings or configuration."""
     if not isinstance(document, dict):
         return False
     return SETTINGS_KEY in document or DOCUMENT_KEY in document
 
 
 def list_mistakes(document) -> list[str]:
-    """Return what is wrong with a parsed file, nothing if it is correct."""
+    """Return the mistakes in a parsed file; empty if it is valid."""
     data = msgspec.json.encode(document)
     try:
         if SETTINGS_KEY in document:
@@ -27,5 +27,5 @@
         decoded = platform_documents.decode_document(data)
     except ValueError as error:
         return [str(error)]
-    found = documents.check_document(decoded)
-    return [f"{error.place}: {error.message}" for error in found]
+    mistakes = documents.check_document(decoded)
+    return [f"{m.place}: {m.message}" for m in mistakes]
--- a/chervilspindle/platform/names.py
+++ b/chervilspindle/platform/names.py
@@ -1,4 +1,4 @@
-"""Names of the platform on the wire, each decoded to the product's own."""
+"""Names that the platform uses: headers, paths, variables and states."""
 
 from chervilspindle.routing import endpoint_calls
 
@@ -17,4 +17,4 @@
 ENDPOINT_PREFIX = b"/api/instances/"
 SETTINGS_VARIABLE = "CHERVILSPINDLE_BOOT"
 IDEMPOTENT_TYPE = "safe"
-STATE_BY_WORD = {"ready": "ready", "draining": "draining"}
+STATE_BY_PLATFORM_STATE = {"ready": "ready", "draining": "draining"}
--- a/chervilspindle/platform/platform_test.py
+++ b/chervilspindle/platform/platform_test.py
@@ -1,4 +1,4 @@
-"""Tests of the adapter against shapes written from the platform's pages."""
+"""Tests of the adapter with data in the platform's documented formats."""
 
 import json
 
@@ -58,7 +58,7 @@
     ],
     "limits": {"header-max-bytes": 16384, "idle-timeout-ms": 15000},
 }
-BEAT = {
+ANNOUNCEMENT = {
     "service": "a",
     "address": "10.128.0.9:8080",
     "zone": "zone-a",
@@ -75,63 +75,63 @@
     return json.dumps(value).encode()
 
 
-def test_the_standard_module_keeps_its_name():
+def test_standard_library_platform_module_is_not_shadowed():
     import platform
 
     assert platform.python_implementation()
 
 
 def test_settings_are_decoded():
-    found = settings.decode_settings(encode(SETTINGS))
-    assert found.peer_address == "10.1.0.9:7380"
-    assert found.seeds == ("10.1.0.12:7380", "10.2.0.24:7380")
-    assert found.entry_address == "10.1.0.9:8104"
-    assert found.control_address == ""
-    assert found.voters == 5
-    assert found.budget == (0.2, 116.0, 10.0)
+    decoded = settings.decode_settings(encode(SETTINGS))
+    assert decoded.peer_address == "10.1.0.9:7380"
+    assert decoded.seeds == ("10.1.0.12:7380", "10.2.0.24:7380")
+    assert decoded.entry_address == "10.1.0.9:8104"
+    assert decoded.control_address == ""
+    assert decoded.voters == 5
+    assert decoded.budget == (0.2, 116.0, 10.0)
 
 
 @pytest.mark.parametrize("missing", ["node-name", "zone", "seed-nodes"])
-def test_settings_without_a_field_are_refused_by_its_name(missing):
+def test_error_names_the_missing_settings_field(missing):
     partial = {k: v for k, v in SETTINGS.items() if k != missing}
     with pytest.raises(ValueError, match=missing):
         settings.decode_settings(encode(partial))
 
 
 def test_a_configuration_is_decoded():
-    found = documents.decode_document(encode(CONFIGURATION))
-    route = found.routes[0]
+    decoded = documents.decode_document(encode(CONFIGURATION))
+    route = decoded.routes[0]
     assert (route.host, route.shards) == ("portal.example", ("a", "b"))
     assert route.idempotent and route.objective_ms == 71.0
-    assert found.service_by_name["a"].connections == 58
-    assert found.limits.idle_ms == 15000.0
+    assert decoded.service_by_name["a"].connections == 58
+    assert decoded.limits.idle_ms == 15000.0
 
 
 def test_weights_and_types_are_decoded():
     split = [{"service": "a", "weight": 3}, {"service": "b", "weight": 1}]
     route = {**ROUTE, "route-type": "unsafe", "traffic-split": split}
     del route["fanout-services"]
-    found = documents.decode_document(
+    decoded = documents.decode_document(
         encode({**CONFIGURATION, "routes": [route]})
     )
-    assert not found.routes[0].idempotent
-    assert [a.weight for a in found.routes[0].alternatives] == [3.0, 1.0]
+    assert not decoded.routes[0].idempotent
+    assert [a.weight for a in decoded.routes[0].alternatives] == [3.0, 1.0]
 
 
 @pytest.mark.parametrize(
     "data", [b"", b"[]", b'{"version":1', b'{"version":"x","routes":[]}']
 )
-def test_a_configuration_that_cannot_be_read_is_refused(data):
+def test_malformed_configuration_is_refused(data):
     with pytest.raises(ValueError):
         documents.decode_document(data)
 
 
 def test_an_announcement_is_decoded():
-    found = control_api.decode_announcement("i-1", encode(BEAT))
-    assert found.state == "ready" and found.slots == 2
-    assert (found.incarnation, found.sequence) == (1767897430081, 4)
+    decoded = control_api.decode_announcement("i-1", encode(ANNOUNCEMENT))
+    assert decoded.state == "ready" and decoded.slots == 2
+    assert (decoded.incarnation, decoded.sequence) == (1767897430081, 4)
     cold = control_api.decode_announcement(
-        "i-1", encode({**BEAT, "cold-left-ms": 900})
+        "i-1", encode({**ANNOUNCEMENT, "cold-left-ms": 900})
     )
     assert cold.state == "warming"
 
@@ -146,13 +146,15 @@
         {"service": ""},
     ],
 )
-def test_announcements_of_another_kind_are_refused(change):
+def test_invalid_announcement_is_refused(change):
     with pytest.raises(ValueError):
-        control_api.decode_announcement("i-1", encode({**BEAT, **change}))
+        control_api.decode_announcement(
+            "i-1", encode({**ANNOUNCEMENT, **change})
+        )
 
 
-class FakeDesk:
-    """Records calls and answers as each test says."""
+class FakeFrontend:
+    """Records calls and returns `result`, which each test sets."""
 
     def __init__(self):
         self.calls = []
@@ -175,36 +177,36 @@
 
 
 class FakeExchange:
-    """One request and the answer that it got."""
+    """One request and its response."""
 
     def __init__(self, method, target, body=b""):
         self.request = http_server.Request(method, target, (), body, 0, True)
-        self.answer = None
+        self.response = None
 
     def respond(self, status, headers=(), body=b""):
-        self.answer = (status, body)
+        self.response = (status, body)
 
 
 def call(frontend, method, target, value=None):
     body = encode(value) if value is not None else b""
     exchange = FakeExchange(method, target, body)
     control_api.build_handler(frontend)(exchange)
-    return exchange.answer
+    return exchange.response
 
 
 def test_a_configuration_is_acknowledged_once_it_is_committed():
-    frontend = FakeDesk()
+    frontend = FakeFrontend()
     frontend.result = defer.Deferred()
     exchange = FakeExchange(b"PUT", b"/api/config", encode(CONFIGURATION))
     control_api.build_handler(frontend)(exchange)
-    assert exchange.answer is None
+    assert exchange.response is None
     frontend.result.callback(messages.DocumentReply(7))
-    assert exchange.answer[0] == 200
+    assert exchange.response[0] == 200
     assert frontend.calls == [rows.StoredDocument(7, encode(CONFIGURATION))]
 
 
 def test_an_invalid_configuration_is_refused_and_changes_nothing():
-    frontend = FakeDesk()
+    frontend = FakeFrontend()
     route = {**ROUTE, "fanout-services": ["a", "unheard-of"]}
     bad = {**CONFIGURATION, "routes": [route]}
     status, body = call(frontend, b"PUT", b"/api/config", bad)
@@ -213,8 +215,8 @@
     assert frontend.calls == []
 
 
-def test_a_read_gives_back_what_was_sent_or_is_not_sure():
-    frontend = FakeDesk()
+def test_read_returns_stored_configuration_or_503_without_leader():
+    frontend = FakeFrontend()
     data = encode(CONFIGURATION)
     frontend.result = defer.succeed(rows.StoredDocument(7, data))
     assert call(frontend, b"GET", b"/api/config") == (200, data)
@@ -223,21 +225,23 @@
     assert call(frontend, b"GET", b"/api/config")[0] == 503
 
 
-def test_endpoints_come_and_go():
-    frontend = FakeDesk()
-    assert call(frontend, b"PUT", b"/api/instances/i-1", BEAT)[0] == 200
+def test_endpoints_are_announced_and_withdrawn():
+    frontend = FakeFrontend()
+    assert (
+        call(frontend, b"PUT", b"/api/instances/i-1", ANNOUNCEMENT)[0] == 200
+    )
     assert call(frontend, b"DELETE", b"/api/instances/i-1")[0] == 200
     assert frontend.calls[0].endpoint_id == frontend.calls[1] == "i-1"
-    forged = {**BEAT, "sequence": None}
-    assert call(frontend, b"PUT", b"/api/instances/i-1", forged)[0] == 400
+    invalid = {**ANNOUNCEMENT, "sequence": None}
+    assert call(frontend, b"PUT", b"/api/instances/i-1", invalid)[0] == 400
     assert len(frontend.calls) == 2
 
 
-def test_other_calls_are_refused():
-    frontend = FakeDesk()
+def test_unknown_paths_and_methods_are_refused():
+    frontend = FakeFrontend()
     assert call(frontend, b"GET", b"/other")[0] == 404
     assert call(frontend, b"POST", b"/api/config")[0] == 405
-    assert call(frontend, b"PUT", b"/api/instances/", BEAT)[0] == 400
+    assert call(frontend, b"PUT", b"/api/instances/", ANNOUNCEMENT)[0] == 400
 
 
 def test_files_are_recognised_and_checked():
--- a/chervilspindle/platform/samples.py
+++ b/chervilspindle/platform/samples.py
@@ -1,14 +1,14 @@
-"""Settings, documents and announcements as the platform writes them.
+"""Builds settings, configurations and announcements in platform format.
 
-The stand-ins play the platform with these; each is the inverse of a decoder
-in this folder.
+Tests and simulated endpoints use them in place of the platform; each function
+is the inverse of a decoder in this folder.
 """
 
 
 def build_settings(
     name, ip, addresses, ports, seeds, first_start, data_folder, lost, grace_s
 ) -> dict:
-    """Return the settings file of a process.
+    """Return the content of a process's settings file.
 
     Parameters
     ----------
@@ -16,13 +16,13 @@
     addresses : dict
         ``control``, or ``front`` and ``ready``, each ``IP:PORT``.
     ports : list of int
-        First and last port for links.
+        First and last port for connections between processes.
     seeds : list of str
         Control addresses.
     first_start : bool
     data_folder : str or None
     lost : int
-        Control VMs that may be lost at once.
+        Number of control VMs that may fail at the same time.
     grace_s : float
     """
     names = {"front": "front", "ready": "readiness-addr", "control": "control"}
@@ -46,7 +46,7 @@
 
 
 def build_route(name, host, prefix, idempotent, **service) -> dict:
-    """Return a route; `service` are the fields from `to_one` or `to_all`."""
+    """Return a route; `service` is the result of `to_one` or `to_all`."""
     return {
         "name": name,
         "hostname": host,
@@ -75,7 +75,7 @@
 
 
 def build_configuration(version, routes, services, connections) -> dict:
-    """Return a whole configuration."""
+    """Return a complete configuration."""
     return {
         "version": version,
         "routes": routes,
@@ -93,7 +93,7 @@
 def build_announcement(
     service, address, zone, state, sequence, born_ms
 ) -> dict:
-    """Return what an endpoint says of itself."""
+    """Return an endpoint's announcement."""
     return {
         "service": service,
         "address": address,
--- a/chervilspindle/platform/settings.py
+++ b/chervilspindle/platform/settings.py
@@ -1,17 +1,17 @@
-"""Decodes the platform's settings file to the product's settings."""
+"""Converts the platform's settings file to `process.RoutingSettings`."""
 
 import msgspec
 
 from chervilspindle.routing import process
 from chervilspindle.routing import retry_budget
 
-# The platform gives no secret. The key keeps processes of other deployments
-# and stray connections out, not an attacker on the network.
+# The platform provides no secret, so the key is fixed. It rejects stray
+# connections and processes of other deployments, not an attacker.
 SHARED_KEY = "chervilspindle links"
 
 
 class Addresses(msgspec.Struct):
-    """Addresses to listen on; absent for what the process does not serve."""
+    """Listen addresses; empty for a role that the process does not have."""
 
     front: str = ""
     ready: str = msgspec.field(default="", name="readiness-addr")
@@ -19,22 +19,22 @@
 
 
 class Tolerance(msgspec.Struct):
-    """What may be lost at the same time."""
+    """Number of simultaneous failures that the system must survive."""
 
     machines: int = 0
 
 
 class Limits(msgspec.Struct):
-    """Bounds on the process."""
+    """Resources that are available to the process."""
 
     core_share: float = msgspec.field(default=1.0, name="cpu-share")
-    # How many times as fast as one core, not a count of cores.
+    # Speed relative to one core, not a number of cores.
     speed: float = msgspec.field(default=1.0, name="cpu-cores")
     link_mbps: float = msgspec.field(default=1000.0, name="link-speed-mbps")
 
 
-class Bounds(msgspec.Struct):
-    """Values of the rules; times in the unit of their names."""
+class PolicyValues(msgspec.Struct):
+    """Tunable values of the grace period and of the retry budget."""
 
     grace_s: float = msgspec.field(default=6.0, name="grace-s")
     budget_ratio: float = msgspec.field(default=0.1, name="retry-budget-ratio")
@@ -44,16 +44,16 @@
     )
 
 
-class File(msgspec.Struct):
-    """The settings file; fields that are not named here are ignored."""
+class SettingsFile(msgspec.Struct):
+    """The settings file; unknown fields are ignored."""
 
     node_name: str = msgspec.field(name="node-name")
     ip: str = msgspec.field(name="ip-address")
     zone: str
     addresses: Addresses = msgspec.field(name="bind-addrs")
-    # First and last port for links between the system's own processes.
+    # First and last port for connections between processes of the system.
     ports: tuple[int, int] = msgspec.field(name="internal-ports")
-    # Control addresses, of which only the host part says where links go.
+    # Control addresses; the port is replaced by the first internal port.
     seeds: tuple[str, ...] = msgspec.field(name="seed-nodes")
     first_start: bool = msgspec.field(default=False, name="bootstrap")
     data_folder: str | None = msgspec.field(default=None, name="data-dir")
@@ -61,8 +61,8 @@
         default_factory=Tolerance, name="fault-tolerance"
     )
     limits: Limits = msgspec.field(default_factory=Limits)
-    bounds: Bounds = msgspec.field(
-        default_factory=Bounds, name="policy-values"
+    policy: PolicyValues = msgspec.field(
+        default_factory=PolicyValues, name="policy-values"
     )
 
 
@@ -72,29 +72,29 @@
     Raises
     ------
     ValueError
-        Names the field that is missing or of another type.
+        If a field is missing or of another type; the message names it.
     """
-    found = msgspec.json.decode(data, type=File)
-    port, metrics_port = found.ports[0], found.ports[0] + 1
-    seeds = tuple(f"{s.rsplit(':', 1)[0]}:{port}" for s in found.seeds)
-    bounds = found.bounds
+    file = msgspec.json.decode(data, type=SettingsFile)
+    port, metrics_port = file.ports[0], file.ports[0] + 1
+    seeds = tuple(f"{s.rsplit(':', 1)[0]}:{port}" for s in file.seeds)
+    policy = file.policy
     return process.RoutingSettings(
-        vm_id=found.node_name,
-        zone=found.zone,
-        peer_address=f"{found.ip}:{port}",
-        metrics_address=f"{found.ip}:{metrics_port}",
+        vm_id=file.node_name,
+        zone=file.zone,
+        peer_address=f"{file.ip}:{port}",
+        metrics_address=f"{file.ip}:{metrics_port}",
         seeds=seeds,
         shared_key=SHARED_KEY,
-        entry_address=found.addresses.front,
-        ready_address=found.addresses.ready,
-        control_address=found.addresses.control,
-        data_folder=found.data_folder or "",
-        first_start=found.first_start,
-        voters=2 * found.tolerance.machines + 1,
+        entry_address=file.addresses.front,
+        ready_address=file.addresses.ready,
+        control_address=file.addresses.control,
+        data_folder=file.data_folder or "",
+        first_start=file.first_start,
+        voters=2 * file.tolerance.machines + 1,
         budget=retry_budget.Rule(
-            bounds.budget_ratio, bounds.budget_base, bounds.budget_window_s
+            policy.budget_ratio, policy.budget_base, policy.budget_window_s
         ),
-        grace_s=bounds.grace_s,
-        core_share=found.limits.core_share * found.limits.speed,
-        link_mbps=found.limits.link_mbps,
+        grace_s=policy.grace_s,
+        core_share=file.limits.core_share * file.limits.speed,
+        link_mbps=file.limits.link_mbps,
     )
