--- a/chervilspindle/__init__.py
+++ b/chervilspindle/__init__.py
@@ -1,3 +1,3 @@
-"""Query tier over many shards, between callers and search endpoints."""
+"""Query tier between callers and the search endpoints of many shards."""
 
 __version__ = "0.1.0"
--- a/chervilspindle/cli.py
+++ b/chervilspindle/cli.py
@@ -1,4 +1,4 @@
-"""Command line: one binary with a sub-command for each job."""
+"""Command line of the product, one sub-command per task."""
 
 import json
 import os
@@ -19,10 +19,10 @@
 from chervilspindle.platform import files
 
 EXIT_FAILED = 1
-EXIT_MISTAKE = 2
+EXIT_INVALID_INPUT = 2
 TOKEN_VARIABLE = "CHERVILSPINDLE_TOKEN"
 DEFAULT_SERVER = "http://127.0.0.1:8080"
-FORCE_TIMEOUT_S = 10.0
+ANSWER_TIMEOUT_S = 10.0
 
 
 def serve(*, settings: str):
@@ -40,9 +40,9 @@
 
 
 def init(*, settings: str):
-    """Create a new control group, once, on one of its VMs.
+    """Create a new control group. Run once, on one of its VMs.
 
-    The other control VMs start with empty disks and join by themselves.
+    The other control VMs start with empty data folders and join automatically.
 
     :param settings: path of that VM's settings file
     """
@@ -59,16 +59,16 @@
 
 
 def check(file: str):
-    """Check a settings file, a file with the two lists or a document.
+    """Validate a settings file, a lists file or a routing document.
 
-    :param file: path of the file; settings and routing documents of the
-        platform are recognised
+    :param file: path of the file; its kind is detected, also files in the
+        format of the platform
     """
     document, mistakes = jsonc.load_file(file)
     if not mistakes and files.is_platform_file(document):
         texts = files.list_mistakes(document)
         if texts:
-            _exit(EXIT_MISTAKE, "\n".join(f"{file}: {t}" for t in texts))
+            _exit(EXIT_INVALID_INPUT, "\n".join(f"{file}: {t}" for t in texts))
     elif not mistakes:
         is_lists = isinstance(document, dict) and (
             "customers" in document or "plans" in document
@@ -78,7 +78,10 @@
             build = lists_module.build_lists
         _, mistakes = build(document, file)
     if mistakes:
-        _exit(EXIT_MISTAKE, "\n".join(jsonc.format_error(m) for m in mistakes))
+        _exit(
+            EXIT_INVALID_INPUT,
+            "\n".join(jsonc.format_error(m) for m in mistakes),
+        )
     print(f"{file}: correct")
 
 
@@ -90,17 +93,20 @@
     server: str = DEFAULT_SERVER,
     wait: bool = True,
 ):
-    """Replace the two lists by those of a file.
+    """Replace the customer and plan lists with those of a file.
 
     :param file: path of the file with both lists
     :param if_revision: revision that the change is based on
-    :param change_id: id to resend the same change under; new if empty
+    :param change_id: id of the change, to resend it safely; new if empty
     :param server: URL of any entry
-    :param wait: wait until the change is in force on every VM
+    :param wait: wait until every VM has applied the change
     """
     _, mistakes = lists_module.load_lists(file)
     if mistakes:
-        _exit(EXIT_MISTAKE, "\n".join(jsonc.format_error(m) for m in mistakes))
+        _exit(
+            EXIT_INVALID_INPUT,
+            "\n".join(jsonc.format_error(m) for m in mistakes),
+        )
     with open(file, "rb") as handle:
         data = handle.read()
     change_id = change_id or uuid.uuid4().hex
@@ -119,7 +125,7 @@
 
 
 def show(*, server: str = DEFAULT_SERVER):
-    """Print the two lists that are in force, with their revision.
+    """Print the customer and plan lists in force, with their revision.
 
     :param server: URL of any entry
     """
@@ -127,7 +133,7 @@
 
 
 def status(*, server: str = DEFAULT_SERVER):
-    """Print how the system stands.
+    """Print the status of the system.
 
     :param server: URL of any entry
     """
@@ -135,16 +141,16 @@
 
 
 def explain(request_id: str, *, server: str = DEFAULT_SERVER):
-    """Print what was decided for a request, and why.
+    """Print the decisions made for a request and their reasons.
 
-    :param request_id: id from the answer
+    :param request_id: request id from the response
     :param server: URL of any entry
     """
     _print_body("GET", f"{server}/v1/explain/{request_id}")
 
 
 def token(name: str):
-    """Create a token; print it with the digest for the lists.
+    """Create a token and print it with its digest for the lists file.
 
     :param name: customer or operator that the token is for
     """
@@ -163,12 +169,12 @@
     run_log: str = "",
     seed: int = 0,
 ):
-    """Run stand-in endpoints.
+    """Run simulated endpoints.
 
     :param file: JSON file with a list of endpoints
-    :param entries: IP:PORT of entries to announce to, with commas
-    :param run_log: file to which each command that ran is written
-    :param seed: seed of service times
+    :param entries: comma-separated IP:PORT of the entries to announce to
+    :param run_log: file that records each executed command
+    :param seed: random seed of service times
     """
     from twisted.internet import reactor
 
@@ -195,13 +201,13 @@
     output: str = "",
     plot: str = "",
 ):
-    """Run a load scenario against a running deployment and report.
+    """Run a load scenario against a deployment and print a report.
 
     :param file: scenario file
     :param target: JSON file with entries, token_by_name, address_by_endpoint
-    :param seed: seed of arrivals
-    :param output: file to which the report is added as a JSON line
-    :param plot: PNG file for a plot
+    :param seed: random seed of arrival times
+    :param output: file to append the report to, as a JSON line
+    :param plot: PNG file to write a plot to
     """
     from twisted.internet import reactor
 
@@ -210,15 +216,20 @@
     logs.configure_logging("load", "WARNING")
     scenario, mistakes = load_module.load_scenario(file)
     if mistakes:
-        _exit(EXIT_MISTAKE, "\n".join(jsonc.format_error(m) for m in mistakes))
+        _exit(
+            EXIT_INVALID_INPUT,
+            "\n".join(jsonc.format_error(m) for m in mistakes),
+        )
     with open(target, "rb") as handle:
-        where = load_module.msgspec.json.decode(
+        loaded_target = load_module.msgspec.json.decode(
             handle.read(), type=load_module.Target
         )
 
     @defer.inlineCallbacks
     def run():
-        generator = load_module.Generator(reactor, scenario, where, seed)
+        generator = load_module.Generator(
+            reactor, scenario, loaded_target, seed
+        )
         report = yield generator.run()
         print(load_module.format_report(report))
         if output:
@@ -231,9 +242,9 @@
 
 
 def demo(*, profile: str = "lagoon-paddle"):
-    """Run a small deployment in this process and show what it does.
+    """Run a small deployment in this process and show how it behaves.
 
-    :param profile: ben-salah or lagoon-paddle
+    :param profile: deployment profile, ben-salah or lagoon-paddle
     """
     from twisted.internet import reactor
 
@@ -241,17 +252,17 @@
     from chervilspindle.tools import deployment
 
     if profile not in deployment.PROFILE_BY_NAME:
-        _exit(EXIT_MISTAKE, f"unknown profile {profile!r}")
+        _exit(EXIT_INVALID_INPUT, f"unknown profile {profile!r}")
     logs.configure_logging("demo", "ERROR")
     chosen = deployment.PROFILE_BY_NAME[profile]
     _run(lambda: demo_module.show(reactor, chosen))
 
 
 def soak(*, seed: int = 0, minutes: float = 1.0, keep: str = ""):
-    """Play random faults against real processes and check the promises.
+    """Inject random faults into real processes and check the guarantees.
 
-    :param seed: seed of the run; drawn now if 0
-    :param minutes: how long faults go on
+    :param seed: random seed of the run; chosen at random if 0
+    :param minutes: duration of fault injection
     :param keep: folder for data and logs; a temporary one if empty
     """
     from chervilspindle.tools import soak as soak_module
@@ -272,7 +283,7 @@
 
 
 def main(arguments=None):
-    """Run the command line."""
+    """Parse the arguments and run the sub-command."""
     defopt.run(
         [
             serve,
@@ -298,7 +309,10 @@
 def _load_settings(path):
     loaded, mistakes = settings_module.load_settings(path)
     if mistakes:
-        _exit(EXIT_MISTAKE, "\n".join(jsonc.format_error(m) for m in mistakes))
+        _exit(
+            EXIT_INVALID_INPUT,
+            "\n".join(jsonc.format_error(m) for m in mistakes),
+        )
     return loaded
 
 
@@ -320,7 +334,7 @@
         },
         data=data,
         persistent=False,
-        timeout=FORCE_TIMEOUT_S,
+        timeout=ANSWER_TIMEOUT_S,
     )
     body = yield treq.content(response)
     if response.code != 200:
@@ -335,12 +349,15 @@
     from twisted.internet import task
 
     started = time.monotonic()
-    while time.monotonic() < started + FORCE_TIMEOUT_S:
+    while time.monotonic() < started + ANSWER_TIMEOUT_S:
         body = yield _request("GET", f"{server}/v1/status")
         if all((vm["revision"] or 0) >= revision for vm in body["vms"]):
             return round((time.monotonic() - started) * 1000)
         yield task.deferLater(reactor, 0.1)
-    raise RuntimeError(f"revision {revision} is accepted, but not everywhere")
+    raise RuntimeError(
+        f"revision {revision} accepted, but not applied by every VM "
+        f"within {ANSWER_TIMEOUT_S:g} s"
+    )
 
 
 def _print_body(method, url):
@@ -353,7 +370,7 @@
 
 
 def _run(function):
-    """Run an asynchronous function and exit with its success."""
+    """Run an asynchronous function in the reactor; exit with 1 if it fails."""
     from twisted.internet import reactor
 
     failures = []
--- a/chervilspindle/serve.py
+++ b/chervilspindle/serve.py
@@ -39,7 +39,7 @@
 
 
 class Roles(typing.NamedTuple):
-    """The roles that a process runs; None for those it does not."""
+    """The role objects of a process; None for a role it does not run."""
 
     entry: entry_module.Entry | None
     node: node_module.ControlNode | None
@@ -54,7 +54,7 @@
     reactor : IReactorTCP, IReactorTime and IReactorFDSet
     settings : Settings
     on_failure : callable
-        Called with an exit code when the process can't go on.
+        Called with an exit code when the process has to stop.
     """
 
     def __init__(self, reactor, settings, on_failure):
@@ -76,12 +76,12 @@
 
     @defer.inlineCallbacks
     def start(self):
-        """Start all roles of the settings.
+        """Start all roles that the settings name.
 
         Raises
         ------
         StorageError
-            If the data folder is damaged or can't be written.
+            If the data folder is damaged or not writable.
         """
         node = leader = entry = None
         if "control" in self.settings.roles:
@@ -98,12 +98,14 @@
             entry.start()
             port = yield self._listen_http(entry)
             self.ports.append(port)
-        self.timers.subscribe("control-state", 0.25, self._watch_control)
+        self.timers.subscribe(
+            "control-state", 0.25, self._update_control_metrics
+        )
         LOGGER.info("serving", extra={"roles": list(self.settings.roles)})
 
     @defer.inlineCallbacks
     def stop(self):
-        """Drain the entry, then close everything."""
+        """Drain the entry, then close ports, storage, links and timers."""
         if self.roles.entry is not None:
             yield self.roles.entry.drain()
         for port in self.ports:
@@ -122,7 +124,10 @@
             identity = storage_module.create_identity(
                 settings.data_folder, settings.group, settings.vm_id
             )
-            LOGGER.info("new disk joins", extra={"member": identity.member_id})
+            LOGGER.info(
+                "joining the control group with an empty data folder",
+                extra={"member": identity.member_id},
+            )
         self.transport = nng.NngTransport(
             self.reactor, settings.shared_key.encode(), self._receive_raft
         )
@@ -169,16 +174,17 @@
         if isinstance(message, CONTROL_CALLS):
             if self.roles.leader is None:
                 raise errors.build_error(
-                    errors.ErrorKind.NO_LEADER, "this VM is not control"
+                    errors.ErrorKind.NO_LEADER,
+                    "this VM does not run a control member",
                 )
             return self.roles.leader.handle(message)
         if self.roles.entry is None:
             raise errors.build_error(
-                errors.ErrorKind.NOT_OWNER, "this VM is not an entry"
+                errors.ErrorKind.NOT_OWNER, "this VM does not run an entry"
             )
         return self.roles.entry.handle(link, message)
 
-    def _watch_control(self):
+    def _update_control_metrics(self):
         node = self.roles.node
         if node is None:
             return
@@ -193,38 +199,41 @@
     Returns
     -------
     int
-        Exit code: 0 after a clean shutdown, 3 if the disk failed.
+        Exit code: 0 after a clean shutdown, 2 if the start failed for
+        another reason than storage, 3 if storage failed.
     """
-    codes = [EXIT_OK]
+    exit_codes = [EXIT_OK]
 
-    def fail(code):
-        codes[0] = code
+    def stop_with_code(code):
+        exit_codes[0] = code
         if reactor.running:
             reactor.callLater(0, reactor.stop)
 
-    server = Server(reactor, settings, fail)
+    server = Server(reactor, settings, stop_with_code)
 
     def start():
-        server.start().addErrback(report)
+        server.start().addErrback(report_start_failure)
 
-    def report(failure):
+    def report_start_failure(failure):
         LOGGER.error("start failed: %s", failure.getErrorMessage())
         storage = failure.check(storage_module.StorageError)
-        fail(EXIT_STORAGE if storage else EXIT_SETTINGS)
+        stop_with_code(EXIT_STORAGE if storage else EXIT_SETTINGS)
 
     def shut_down(*_):
         reactor.callFromThread(stop_server)
 
     def stop_server():
         stopping = server.stop()
-        stopping.addErrback(lambda failure: LOGGER.error("%s", failure))
+        stopping.addErrback(
+            lambda failure: LOGGER.error("shutdown failed: %s", failure)
+        )
         stopping.addBoth(lambda _: reactor.stop())
 
     reactor.callWhenRunning(start)
     signal.signal(signal.SIGTERM, shut_down)
     signal.signal(signal.SIGINT, shut_down)
     reactor.run(installSignalHandlers=False)
-    return codes[0]
+    return exit_codes[0]
 
 
 def bootstrap(settings):
@@ -233,7 +242,7 @@
     Raises
     ------
     StorageError
-        If the folder is in use already.
+        If the folder already belongs to a control member.
     """
     folder = settings.data_folder
     if storage_module.load_identity(folder) is not None:
