--- a/chervilspindle/platform/control_api.py
+++ b/chervilspindle/platform/control_api.py
@@ -31,8 +31,8 @@
     sequence: int
     # Time until the endpoint has warmed up after its start.
     cold_ms: float = msgspec.field(default=0.0, name="cold-left-ms")
-    # Wall-clock time of the endpoint's start; 0 if not announced.
-    started_ms: int = msgspec.field(default=0, name="born")
+    # Wall-clock time of the endpoint's start in ms; 0 if not announced.
+    born: int = 0
 
 
 _ANNOUNCEMENT_DECODER = msgspec.json.Decoder(Announcement)
@@ -68,7 +68,7 @@
         connections=0,
         state=state,
         holdings=(),
-        incarnation=announcement.started_ms,
+        incarnation=announcement.born,
         sequence=announcement.sequence,
     )
 
--- a/chervilspindle/platform/documents.py
+++ b/chervilspindle/platform/documents.py
@@ -19,7 +19,7 @@
     name: str
     host: str = msgspec.field(name="hostname")
     prefix: str = msgspec.field(name="path-prefix")
-    # Whether requests are idempotent, not how they are forwarded.
+    # Whether requests are idempotent, not the kind of forwarding.
     route_type: str = msgspec.field(name="route-type")
     timeout_ms: float = msgspec.field(name="timeout-ms")
     objective_ms: float = msgspec.field(default=0.0, name="slo-ms")
--- a/chervilspindle/platform/settings.py
+++ b/chervilspindle/platform/settings.py
@@ -6,7 +6,8 @@
 from chervilspindle.routing import retry_budget
 
 # The platform provides no secret, so the key is fixed. It rejects stray
-# connections and processes of other deployments, not an attacker.
+# connections and processes of other deployments, but does not protect against
+# an attacker on the network.
 SHARED_KEY = "chervilspindle links"
 
 
