--- a/chervilspindle/platform/samples.py
+++ b/chervilspindle/platform/samples.py
@@ -60,7 +60,7 @@
     }
 
 
-def to_one(service) -> dict:
+def build_service_target(service) -> dict:
     """Return the fields of a route to one service."""
     return {"service": service}
 
--- a/chervilspindle/tools/soak.py
+++ b/chervilspindle/tools/soak.py
@@ -259,7 +259,7 @@
     def _build_document(self):
         self.version += self.random.randint(1, 3)
         newest = f"v{self.version}"
-        to_desk = samples.to_one("desk")
+        to_desk = samples.build_service_target("desk")
         to_shards = samples.to_all(SHARDS, TOP_K, MIN_COVERAGE)
         routes = [
             samples.build_route("all", HOST, "/all/", True, **to_shards),
