--- a/chervilspindle/platform/samples.py
+++ b/chervilspindle/platform/samples.py
@@ -65,7 +65,7 @@
     return {"service": service}
 
 
-def to_all(shards, top_k, min_coverage) -> dict:
+def build_fanout_target(shards, top_k, min_coverage) -> dict:
     """Return the fields of a route to all shards."""
     return {
         "fanout-services": shards,
--- a/chervilspindle/tools/soak.py
+++ b/chervilspindle/tools/soak.py
@@ -260,7 +260,7 @@
         self.version += self.random.randint(1, 3)
         newest = f"v{self.version}"
         to_desk = samples.build_service_target("desk")
-        to_shards = samples.to_all(SHARDS, TOP_K, MIN_COVERAGE)
+        to_shards = samples.build_fanout_target(SHARDS, TOP_K, MIN_COVERAGE)
         routes = [
             samples.build_route("all", HOST, "/all/", True, **to_shards),
             samples.build_route("once", HOST, "/once/", False, **to_desk),
