--- a/chervilspindle/platform/samples.py
+++ b/chervilspindle/platform/samples.py
@@ -46,7 +46,15 @@
 
 
 def build_route(name, host, prefix, idempotent, **service) -> dict:
-    """Return a route; `service` is the result of `to_one` or `to_all`."""
+    """Return a route.
+
+    Parameters
+    ----------
+    name, host, prefix : str
+    idempotent : bool
+    service
+        Fields from `build_service_target` or `build_fanout_target`.
+    """
     return {
         "name": name,
         "hostname": host,
@@ -61,12 +69,12 @@
 
 
 def build_service_target(service) -> dict:
-    """Return the fields of a route to one service."""
+    """Return the fields of a route that forwards to one service."""
     return {"service": service}
 
 
 def build_fanout_target(shards, top_k, min_coverage) -> dict:
-    """Return the fields of a route to all shards."""
+    """Return the fields of a route that queries all shards."""
     return {
         "fanout-services": shards,
         "top-k": top_k,
