--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements: experiments on real processes, and slopes for capacity."""
+"""Benchmarks: load experiments on real processes and cost measurements."""
