--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,8 +1,9 @@
-"""Measures the slopes that docs/CAPACITY.md is worked out from.
+"""Measures the cost slopes from which docs/CAPACITY.md is calculated.
 
-Each slope is processor time (or bytes) against one size, from runs in this
-process of the very code that serves, with stand-ins only at the interfaces.
-Prints one JSON line for each point and a table of the fitted slopes.
+Each slope is processor time, elapsed time or bytes as a function of one
+size. The production code runs in this process; only its external interfaces
+are replaced by test doubles. Writes one JSON line per point to the output
+file and prints a table of the fitted slopes.
 """
 
 import itertools
@@ -52,7 +53,7 @@
 
 
 def build_endpoints(count):
-    """Build rows of endpoints, two to a service."""
+    """Build endpoint rows, two per service."""
     return tuple(
         rows.Endpoint(
             f"service-{n // 2:05d}.{n % 2}",
@@ -71,7 +72,7 @@
 
 
 def build_vms(count):
-    """Build rows of entry sessions."""
+    """Build one VM row (session) per entry."""
     return tuple(
         rows.Vm(
             f"entry-{n}@1796338148071",
@@ -86,7 +87,7 @@
 
 
 def build_tables(vms, endpoints):
-    """Build replicated tables with every endpoint owned."""
+    """Build replicated tables in which every endpoint has an owner."""
     state = state_module.EMPTY_STATE._replace(version=1)
     for vm in build_vms(vms):
         state = state_module.apply_command(
@@ -101,7 +102,7 @@
 
 
 def measure_placement(sizes):
-    """Placement pass of the leader against VMs and endpoints."""
+    """Measure a placement pass of the leader that has nothing to assign."""
     for vms, endpoints in sizes:
         state = build_tables(vms, endpoints)
         index = placement.PlacementIndex(state)
@@ -110,20 +111,20 @@
 
 
 def measure_vm_loss(sizes):
-    """End of one session and the placement pass after it."""
+    """Measure the removal of one session and the placement pass after it."""
     for vms, endpoints in sizes:
-        yield endpoints, _time_loss(vms, endpoints, 1)
+        yield endpoints, _measure_loss_us(vms, endpoints, 1)
 
 
 def measure_zone_loss(sizes):
-    """End of an eighth of all sessions at once, and the placement pass."""
+    """Measure the removal of an eighth of all sessions, and the placement."""
     for vms, endpoints in sizes:
-        yield endpoints, _time_loss(vms, endpoints, vms // 8)
+        yield endpoints, _measure_loss_us(vms, endpoints, vms // 8)
 
 
-def _time_loss(vms, endpoints, lost):
+def _measure_loss_us(vms, endpoints, lost_count):
     state = build_tables(vms, endpoints)
-    sessions = tuple(state.vm_by_session)[:lost]
+    sessions = tuple(state.vm_by_session)[:lost_count]
     command = state_module.RemoveVms(sessions)
     samples = []
     for _ in range(REPEATS):
@@ -131,14 +132,14 @@
         started = time.process_time()
         outcome = state_module.apply_command(command, state)
         index.update(outcome.state, outcome.changes)
-        grants = placement.plan_assignments(outcome.state, index)
+        assignments = placement.plan_assignments(outcome.state, index)
         samples.append((time.process_time() - started) * 1e6)
-        assert grants
+        assert assignments
     return statistics.median(samples)
 
 
 def measure_heartbeat(sizes):
-    """Heartbeat answered by the leader, delta cached, with the frame tag."""
+    """Measure a heartbeat at the leader: cached delta, tagged frames."""
     for vms, endpoints in sizes:
         state = build_tables(vms, endpoints)
         feed = changes.ChangeFeed()
@@ -146,7 +147,7 @@
         heartbeat = messages.Heartbeat(vm, state.version, 1, ())
         data = messages.encode_frame(heartbeat, 1, False)
 
-        def answer():
+        def answer_heartbeat():
             peer._compute_tag(b"k" * 32, 1, data)
             messages.decode_frame(data)
             delta = feed.get_delta(state, state.version)
@@ -154,11 +155,11 @@
             out = messages.encode_frame(reply, 1, True)
             peer._compute_tag(b"k" * 32, 1, out)
 
-        yield vms, measure_us(answer, 300)
+        yield vms, measure_us(answer_heartbeat, 300)
 
 
 def measure_directory(sizes):
-    """Delta of one changed endpoint put in force by an entry."""
+    """Measure how an entry applies the delta of one changed endpoint."""
     for vms, endpoints in sizes:
         state = build_tables(vms, endpoints)
         directory = directory_module.Directory()
@@ -169,15 +170,15 @@
             state.version + 1, False, None, (), (row,), (), (), ()
         )
 
-        def apply():
+        def apply_delta():
             directory.version = 0
             directory.apply_delta(delta)
 
-        yield endpoints, measure_us(apply, 5)
+        yield endpoints, measure_us(apply_delta, 5)
 
 
 def measure_full_sync(sizes):
-    """Bytes of all tables, as a new entry gets them."""
+    """Measure the bytes of the full delta that a new entry receives."""
     for vms, endpoints in sizes:
         state = build_tables(vms, endpoints)
         delta = changes.build_full_delta(state)
@@ -185,15 +186,15 @@
 
 
 def measure_commit(sizes):
-    """Log entry proposed, written with fsync and acknowledged, by batch."""
+    """Measure propose, write with fsync and apply of a log entry, by batch."""
     for batch in sizes:
         with tempfile.TemporaryDirectory(dir=os.getcwd()) as folder:
             storage = storage_module.Storage(folder)
             storage.recover()
-            yield batch, _time_commits(storage, batch)
+            yield batch, _measure_commit_us(storage, batch)
 
 
-def _time_commits(storage, batch):
+def _measure_commit_us(storage, batch):
     member = ("a#1", "10.0.0.1:1", True)
     data = raft_messages.encode_members((member,))
     entry = raft_messages.Entry(1, 1, raft.CONFIG, data)
@@ -208,21 +209,21 @@
     state = raft.tick(state, 10000.0, 0.5).state
     claim = rows.Claim("customer/key", "d" * 32, "r" * 40, "claimed", b"", 1)
     commands = [state_module.ClaimCommand(claim)] * batch
-    holder = [state, state]
+    current_state = [state, state]
 
     def commit():
-        data_ = state_module.encode_batch(commands)
-        step, _ = raft.propose(holder[0], data_, 10001.0)
-        storage.persist(holder[0], step.state)
-        for command in state_module.decode_batch(data_):
+        batch_data = state_module.encode_batch(commands)
+        step, _ = raft.propose(current_state[0], batch_data, 10001.0)
+        storage.persist(current_state[0], step.state)
+        for command in state_module.decode_batch(batch_data):
             state_module.apply_command(command, state_module.EMPTY_STATE)
-        holder[0] = step.state
+        current_state[0] = step.state
 
     return measure_us(commit, 30)
 
 
 def measure_fan_out(sizes):
-    """Sub-query of so many parts encoded, tagged, checked and decoded."""
+    """Measure a sub-query message encoded, tagged, verified and decoded."""
     for parts in sizes:
         message = messages.SubQuery(
             "entry-1~" + "a" * 32,
@@ -239,33 +240,33 @@
             ),
         )
 
-        def carry():
+        def send_and_receive():
             data = messages.encode_frame(message, 0, False)
             peer._compute_tag(b"k" * 32, 1, data)
             peer._compute_tag(b"k" * 32, 1, data)
             messages.decode_frame(data)
 
-        yield parts, measure_us(carry, 200)
+        yield parts, measure_us(send_and_receive, 200)
 
 
 def measure_memory(sizes):
-    """Bytes of the directory of one entry, by resident set."""
+    """Measure the resident memory of one entry's directory, in bytes."""
     for vms, endpoints in sizes:
         state = build_tables(vms, endpoints)
         data = msgspec.msgpack.encode(changes.build_full_delta(state))
         del state
-        before = _read_resident()
-        held = []
+        before = _read_resident_bytes()
+        directories = []
         for _ in range(3):
             directory = directory_module.Directory()
             delta = msgspec.msgpack.decode(data, type=messages.Delta)
             directory.apply_delta(delta)
-            held.append(directory)
-        yield endpoints, (_read_resident() - before) / len(held)
+            directories.append(directory)
+        yield endpoints, (_read_resident_bytes() - before) / len(directories)
 
 
 def build_lists_command(number, names):
-    """Build a change of the lists, with a row for each customer."""
+    """Build the command that replaces the customer and plan lists."""
     plan = rows.Plan("plan", ("service-*",), 0.5, ("search",))
     customers = tuple(
         rows.Customer(name, "plan", "0" * 24, "f" * 64) for name in names
@@ -276,7 +277,7 @@
 
 
 def measure_lists_delta(sizes):
-    """Bytes to each VM for one customer added to the lists."""
+    """Measure the delta bytes sent to each VM when one customer is added."""
     for count in sizes:
         names = [f"customer-{n:06d}" for n in range(count)]
         state = state_module.EMPTY_STATE._replace(version=1)
@@ -291,7 +292,7 @@
 
 
 def measure_snapshot(sizes):
-    """Encode all tables, as the control loop does every so many entries."""
+    """Measure the encoding of all tables for a periodic log snapshot."""
     for vms, endpoints in sizes:
         state = build_tables(vms, endpoints)
         yield endpoints, measure_us(
@@ -299,8 +300,8 @@
         )
 
 
-def measure_longest_turn(sizes):
-    """Longest time that writing a snapshot holds the loop, in elapsed us."""
+def measure_snapshot_blocking(sizes):
+    """Measure the longest elapsed us a snapshot write blocks the loop."""
     for claims in sizes:
         state = build_tables(3900, 21000)._replace(
             claim_by_id=build_claims(claims).claim_by_id
@@ -326,7 +327,7 @@
 
 
 def build_claims(count):
-    """Build tables that hold so many claims with recorded outcomes."""
+    """Build tables that contain ``count`` claims with recorded outcomes."""
     claims = {}
     for number in range(count):
         claim = rows.Claim(
@@ -344,7 +345,7 @@
 
 
 def measure_claim_memory(sizes):
-    """Bytes of recorded outcomes of commands, as allocated."""
+    """Measure the allocated bytes of recorded command outcomes."""
     for count in sizes:
         tracemalloc.start()
         state = build_claims(count)
@@ -355,7 +356,7 @@
 
 
 def measure_claim_expiry(sizes):
-    """Look for claims that are too old, once a minute."""
+    """Measure the expiry pass over all claims, which runs once a minute."""
     for count in sizes:
         state = build_claims(count)
         command = state_module.Expire(0)
@@ -364,15 +365,16 @@
         )
 
 
-def _read_resident():
+def _read_resident_bytes():
     with open("/proc/self/statm", encoding="ascii") as handle:
         return int(handle.read().split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
 
+# Pairs of VMs and endpoints.
 SIZES = ((100, 540), (400, 2160), (1000, 5400), (2000, 10800))
 
-LISTS = (100, 1000, 10000)
-CLAIMS = (20000, 50000, 100000)
+CUSTOMER_COUNTS = (100, 1000, 10000)
+CLAIM_COUNTS = (20000, 50000, 100000)
 
 SLOPES = (
     ("placement pass, nothing to do", "us/endpoint", measure_placement, SIZES),
@@ -384,18 +386,23 @@
     ("directory memory", "bytes/endpoint", measure_memory, SIZES),
     ("commit with fsync", "us/command", measure_commit, (1, 10, 50, 100)),
     ("peer message", "us/part", measure_fan_out, (1, 10, 50, 150)),
-    ("one customer added", "bytes/customer", measure_lists_delta, LISTS),
+    (
+        "one customer added",
+        "bytes/customer",
+        measure_lists_delta,
+        CUSTOMER_COUNTS,
+    ),
     ("snapshot of the state", "us/endpoint", measure_snapshot, SIZES),
-    ("longest turn", "us/claim", measure_longest_turn, CLAIMS),
-    ("claim memory", "bytes/claim", measure_claim_memory, CLAIMS),
-    ("claim expiry pass", "us/claim", measure_claim_expiry, CLAIMS),
+    ("longest turn", "us/claim", measure_snapshot_blocking, CLAIM_COUNTS),
+    ("claim memory", "bytes/claim", measure_claim_memory, CLAIM_COUNTS),
+    ("claim expiry pass", "us/claim", measure_claim_expiry, CLAIM_COUNTS),
 )
 
 
 def main(*, output: str = "run/slopes.jsonl"):
     """Measure all slopes.
 
-    :param output: file to which points are added as JSON lines
+    :param output: file that is overwritten with one JSON line per point
     """
     os.makedirs(os.path.dirname(output) or ".", exist_ok=True)
     with open(output, "w", encoding="utf-8") as sink:
