--- a/bench/data_path_cost.py
+++ b/bench/data_path_cost.py
@@ -1,6 +1,7 @@
-"""Processor time of an entry for each fan-out query and each shard.
+"""Measures an entry's processor time per fan-out query and per shard.
 
-Endpoints run in a child process, so that only the entry's time counts.
+The endpoints run in a child process, so that their processor time is not
+counted.
 
     .venv/bin/python -m bench.data_path_cost --shards 90 --queries 300
 """
@@ -32,12 +33,12 @@
 from chervilspindle.wire import peer
 from chervilspindle.wire import streams
 
-PAUSE_S = 0.02  # between queries
-WARM_UP = 20
+QUERY_INTERVAL_S = 0.02
+WARM_UP_QUERIES = 20
 
 
 def serve_endpoints(addresses):
-    """Serve one endpoint at each address until killed."""
+    """Serve one endpoint on every address until the process is killed."""
     loop = uvloop.new_event_loop()
     clock = loops.LoopClock(loop)
     for number, address in enumerate(addresses):
@@ -50,7 +51,7 @@
 
 
 def build_entry(loop, addresses):
-    """Build an entry whose one route fans out to all addresses."""
+    """Build an entry whose only route fans out to all addresses."""
     clock = loops.LoopClock(loop)
     timers = timers_module.TimerService(clock)
     context = contexts.build_context(
@@ -89,8 +90,8 @@
     return entry
 
 
-async def play(loop, entry, queries):
-    """Send queries one by one; returns the processor time of them all."""
+async def send_queries(loop, entry, queries):
+    """Send queries one at a time; return their total processor time in s."""
     timers = timers_module.TimerService(loops.LoopClock(loop))
     address = f"127.0.0.1:{soak.find_ports(1)[0]}"
     server = http_server.HttpServer(
@@ -100,8 +101,8 @@
     host, port = address.split(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     started = 0.0
-    for number in range(WARM_UP + queries):
-        if number == WARM_UP:
+    for number in range(WARM_UP_QUERIES + queries):
+        if number == WARM_UP_QUERIES:
             started = time.process_time()
         request_id = f"id-{number}"
         writer.write(
@@ -112,20 +113,20 @@
         head = await reader.readuntil(b"\r\n\r\n")
         length = int(head.lower().split(b"content-length: ")[1].split()[0])
         await reader.readexactly(length)
-        await asyncio.sleep(PAUSE_S)
+        await asyncio.sleep(QUERY_INTERVAL_S)
     return time.process_time() - started
 
 
 def main(*, shards: int = 90, queries: int = 200, profile: bool = False):
     """Measure and print the costs.
 
-    :param shards: shards of the query
-    :param queries: queries to play
-    :param profile: print where the time goes instead
+    :param shards: shards per query
+    :param queries: queries to send after the warm-up
+    :param profile: print a profile instead of the costs
     """
-    net = random.randrange(10, 250)
+    subnet = random.randrange(10, 250)
     port = soak.find_ports(1)[0]
-    addresses = [f"127.{net}.0.{i + 1}:{port}" for i in range(shards)]
+    addresses = [f"127.{subnet}.0.{i + 1}:{port}" for i in range(shards)]
     child = subprocess.Popen(
         [
             sys.executable,
@@ -144,21 +145,21 @@
     try:
         if profile:
             profiler.enable()
-        spent = loop.run_until_complete(play(loop, entry, queries))
+        spent = loop.run_until_complete(send_queries(loop, entry, queries))
         profiler.disable()
     finally:
         child.kill()
     if profile:
         pstats.Stats(profiler).sort_stats("tottime").print_stats(28)
         return
-    each = spent / queries * 1000.0
+    ms_per_query = spent / queries * 1000.0
     print(
         json.dumps(
             {
                 "shards": shards,
                 "queries": queries,
-                "ms_a_query": round(each, 3),
-                "us_a_shard": round(each * 1000.0 / shards, 1),
+                "ms_a_query": round(ms_per_query, 3),
+                "us_a_shard": round(ms_per_query * 1000.0 / shards, 1),
             }
         )
     )
