--- a/bench/experiment.py
+++ b/bench/experiment.py
@@ -1,8 +1,8 @@
-"""Runs load scenarios on real processes, variants interleaved.
+"""Runs load scenarios on real processes and compares variants.
 
-Each run starts a deployment of its own, sends the load from a process of
-its own and adds a JSON line to the output. Variants of one scenario take
-turns over the seeds, so that drift of the machine hits all of them.
+Each run starts a new deployment, sends the load from a separate process and
+appends a JSON line to the output. The variants of a scenario are interleaved
+within each seed, so that drift of the machine affects all of them.
 
 Usage: python -m bench.experiment SCENARIO [--variants a,b] [--seeds 1,2]
 A variant is ``full`` or baselines joined by ``+``, such as ``no-hedge``.
@@ -25,10 +25,10 @@
 
 
 def run_once(path, variant, seed, output):
-    """Run one scenario on one variant; return the report."""
-    scenario, mistakes = load.load_scenario(path)
-    if mistakes:
-        raise SystemExit(str(mistakes))
+    """Run a scenario on one variant, append the report and return it."""
+    scenario, errors = load.load_scenario(path)
+    if errors:
+        raise SystemExit(str(errors))
     baselines = () if variant == "full" else variant.split("+")
     with tempfile.TemporaryDirectory() as folder:
         deployment = processes.Deployment(
@@ -40,7 +40,7 @@
         )
         try:
             deployment.start()
-            report = drive(deployment, scenario, path, seed, folder)
+            report = run_load(deployment, scenario, path, seed, folder)
         finally:
             deployment.stop()
     report["variant"] = variant
@@ -51,8 +51,8 @@
     return report
 
 
-def drive(deployment, scenario, path, seed, folder):
-    """Send the load from its own process, with signals on time."""
+def run_load(deployment, scenario, path, seed, folder):
+    """Run the load tool in a process and send the scenario's signals."""
     target = os.path.join(folder, "target.json")
     with open(target, "w", encoding="utf-8") as handle:
         json.dump(build_target(deployment), handle)
@@ -80,7 +80,7 @@
 
 
 def build_target(deployment):
-    """Return the load tool's target as a JSON array."""
+    """Return the load tool's target, which it reads as a JSON array."""
     return [
         deployment.addresses,
         deployment.documents.token_by_name,
@@ -96,9 +96,9 @@
 
 
 def send_signals(deployment, scenario, start):
-    """Send signals to processes.
+    """Send each signal of the scenario at its time after ``start``.
 
-    START starts a killed one again, RESTART stops one gracefully first.
+    START starts a killed VM again; RESTART stops it with SIGTERM first.
     """
     for at_s, name, signal_name in sorted(scenario.signals):
         time.sleep(max(0.0, start + at_s - time.monotonic()))
@@ -120,12 +120,12 @@
     seeds: str = "1",
     output: str = "run/experiments.jsonl",
 ):
-    """Run scenarios on variants over seeds.
+    """Run every scenario with every seed on every variant.
 
     :param scenarios: scenario files
-    :param variants: variants with commas
-    :param seeds: seeds with commas
-    :param output: file to which reports are added as JSON lines
+    :param variants: variants, separated by commas
+    :param seeds: seeds, separated by commas
+    :param output: file to which reports are appended as JSON lines
     """
     os.makedirs(os.path.dirname(output) or ".", exist_ok=True)
     for path in scenarios:
