--- a/bench/processor_time.py
+++ b/bench/processor_time.py
@@ -1,7 +1,8 @@
-"""Processor time of real processes: idle, and for each shard of a query.
+"""Measures the processor time of real processes, idle and per shard.
 
-Starts a deployment, reads each process's time from /proc while it is idle,
-then while queries over a growing number of shards are sent one by one.
+Starts a deployment and reads the processor time of each process from /proc,
+first idle, then while queries are sent one at a time over an increasing
+number of shards.
 """
 
 import json
@@ -16,33 +17,33 @@
 
 IDLE_S = 10.0
 QUERIES = 150
-TICKS = os.sysconf("SC_CLK_TCK")
+TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
-def read_process(pid):
-    """Return processor time in ms and resident memory in MB."""
+def read_usage(pid):
+    """Return the processor time in ms and the resident memory in MB."""
     with open(f"/proc/{pid}/stat", encoding="ascii") as handle:
         fields = handle.read().rsplit(")", 1)[1].split()
     with open(f"/proc/{pid}/statm", encoding="ascii") as handle:
         pages = int(handle.read().split()[1])
     ticks = int(fields[11]) + int(fields[12])
     memory = pages * os.sysconf("SC_PAGE_SIZE") / 1e6
-    return ticks * 1000.0 / TICKS, memory
+    return ticks * 1000.0 / TICKS_PER_S, memory
 
 
-def read_all(deployment):
-    """Return the readings of all processes by name."""
+def read_usage_by_name(deployment):
+    """Return processor time and memory of all processes, by name."""
     return {
-        name: read_process(process.pid)
+        name: read_usage(process.pid)
         for name, process in deployment.process_by_name.items()
     }
 
 
 def measure_idle(deployment):
-    """Print share of a core and memory of each process when idle."""
-    before = read_all(deployment)
+    """Print the core share and memory of each process while idle."""
+    before = read_usage_by_name(deployment)
     time.sleep(IDLE_S)
-    after = read_all(deployment)
+    after = read_usage_by_name(deployment)
     for name in sorted(after):
         spent = after[name][0] - before[name][0]
         share = spent / (IDLE_S * 10.0)
@@ -53,7 +54,7 @@
 
 
 def measure_queries(deployment, services):
-    """Return processor time of all entries for one query, in ms."""
+    """Return the entries' processor time and elapsed time per query, in ms."""
     body = {
         "services": services,
         "query": {"text": "canoe"},
@@ -69,23 +70,23 @@
             assert status == 200
 
     send(30)
-    before = read_all(deployment)
+    before = read_usage_by_name(deployment)
     started = time.monotonic()
     send(QUERIES)
     elapsed = time.monotonic() - started
-    after = read_all(deployment)
+    after = read_usage_by_name(deployment)
     spent = sum(
         after[n][0] - before[n][0] for n in after if n.startswith("entry")
     )
-    idle = spent / QUERIES
-    return idle, elapsed / QUERIES * 1000.0
+    cost = spent / QUERIES
+    return cost, elapsed / QUERIES * 1000.0
 
 
 def main(*, shards: str = "1,5,10,20", scale: float = 0.5):
-    """Measure and print.
+    """Measure and print the costs.
 
-    :param shards: numbers of shards with commas; empty to measure idle alone
-    :param scale: part of the services, which sets the announcements a second
+    :param shards: comma-separated shard counts; if empty, measure only idle
+    :param scale: fraction of the services, which sets the announcement rate
     """
     with tempfile.TemporaryDirectory() as folder:
         deployment = processes.Deployment(folder, entries=3, scale=scale)
