--- a/bench/recovery_times.py
+++ b/bench/recovery_times.py
@@ -1,7 +1,8 @@
-"""Times of recovery on real processes, each measured several times.
+"""Measures recovery times on real processes, each several times.
 
-Leader killed to another leader, owner killed to new owners, change accepted
-to in force on every VM, and leaving endpoint to its last new work.
+Measures the time from loss of the leader to a new leader, from loss of an
+owner to new owners, from an accepted change to its effect on every VM, and
+from the drain of an endpoint to its last new work.
 """
 
 import signal
@@ -14,32 +15,34 @@
 
 from features import processes
 
-POLL_S = 0.02
+POLL_INTERVAL_S = 0.02
 
 
-def wait_for(condition, limit_s):
-    """Return the time until a condition holds, in ms."""
+def wait_until(condition, limit_s):
+    """Return the time until the condition is true, in ms."""
     started = time.monotonic()
     while not condition():
         if time.monotonic() - started > limit_s:
-            raise SystemExit(f"not within {limit_s} s")
-        time.sleep(POLL_S)
+            raise SystemExit(f"condition not met within {limit_s} s")
+        time.sleep(POLL_INTERVAL_S)
     return (time.monotonic() - started) * 1000.0
 
 
 def measure_leader(deployment):
-    """Kill the leader; return the time until another answers, in ms."""
+    """Kill the leader; return the time until another is elected, in ms."""
     leader = deployment.get_leader()
     deployment.kill(leader)
-    elapsed = wait_for(lambda: deployment.get_leader() not in ("", leader), 20)
+    elapsed = wait_until(
+        lambda: deployment.get_leader() not in ("", leader), 20
+    )
     deployment.start_vm(leader)
-    wait_for(lambda: len(deployment.get_status()["voters"]) == 3, 20)
+    wait_until(lambda: len(deployment.get_status()["voters"]) == 3, 20)
     time.sleep(2.0)
     return elapsed
 
 
 def measure_owner(deployment, sent_signal):
-    """Stop an owner; return the time until all endpoints are owned, in ms."""
+    """Signal an owner; return the ms until live VMs own all endpoints."""
     deployment.signal("entry-3", sent_signal)
 
     def is_taken_over():
@@ -49,33 +52,35 @@
         live = {vm["session"] for vm in body["vms"] if vm["vm"] != "entry-3"}
         return all(e["owner"] in live for e in body["endpoints"])
 
-    elapsed = wait_for(is_taken_over, 30)
+    elapsed = wait_until(is_taken_over, 30)
     process = deployment.process_by_name.pop("entry-3")
     process.kill()
     process.wait()
     deployment.start_vm("entry-3")
-    wait_for(lambda: deployment.is_complete(2), 20)
+    wait_until(lambda: deployment.is_complete(2), 20)
     time.sleep(4.0)
     return elapsed
 
 
 def measure_change(deployment, number):
-    """Apply a change; return the time until it is in force, in ms."""
+    """Apply a change; return the time until all VMs use it, in ms."""
     revision = deployment.get_status()["revision"]
     status, body = deployment.apply(f"time-{number}", revision)
     assert status == 200
-    return wait_for(lambda: deployment.is_in_force(body["revision"]), 20)
+    return wait_until(lambda: deployment.is_in_force(body["revision"]), 20)
 
 
 def measure_drain(deployment, endpoint):
-    """Drain an endpoint under load; return when its last work came, in ms."""
+    """Drain an endpoint under load; return the ms to its last new work."""
     running = [True]
 
-    def search(entry):
+    def send_queries(entry):
         while running[0]:
             deployment.query(entry)
 
-    threads = [threading.Thread(target=search, args=(n,)) for n in range(3)]
+    threads = [
+        threading.Thread(target=send_queries, args=(n,)) for n in range(3)
+    ]
     for thread in threads:
         thread.start()
     time.sleep(0.5)
@@ -87,8 +92,8 @@
     return deployment.stand_in(endpoint)["last_work_after_drain_ms"]
 
 
-def show(name, values):
-    """Print median and largest of the values."""
+def print_summary(name, values):
+    """Print the median and the maximum of the values, in ms."""
     print(
         f"{name:<44} median {statistics.median(values):7.0f} ms, "
         f"largest {max(values):7.0f} ms, n {len(values)}",
@@ -97,20 +102,20 @@
 
 
 def main(*, rounds: int = 5):
-    """Measure and print.
+    """Measure and print the recovery times.
 
-    :param rounds: how often each time is taken
+    :param rounds: number of samples per time; four times as many for changes
     """
     with tempfile.TemporaryDirectory() as folder:
         deployment = processes.Deployment(folder, scale=0.2)
         try:
             deployment.start()
             numbers = range(rounds)
-            show(
+            print_summary(
                 "accepted to in force everywhere",
                 [measure_change(deployment, n) for n in range(4 * rounds)],
             )
-            show(
+            print_summary(
                 "leader killed to another leader",
                 [measure_leader(deployment) for _ in numbers],
             )
@@ -119,7 +124,7 @@
                 ("owner frozen to all endpoints owned", signal.SIGSTOP),
                 ("owner stopped to all endpoints owned", signal.SIGTERM),
             ):
-                show(
+                print_summary(
                     name,
                     [measure_owner(deployment, sent_signal) for _ in numbers],
                 )
@@ -129,7 +134,7 @@
                 if row["endpoint"].startswith("booking-desk")
                 and row["endpoint"].endswith(".0")
             ]
-            show(
+            print_summary(
                 "leaving announced to last new work",
                 [measure_drain(deployment, e) for e in endpoints],
             )
