--- a/bench/link_cost.py
+++ b/bench/link_cost.py
@@ -1,7 +1,7 @@
-"""Processor time of a peer call and an HTTP request, memory of a link.
+"""Measures the cost of peer calls, HTTP requests and open links.
 
-Both ends run in this process over loopback, with many calls in flight, so
-the processor time of the process is that of caller and callee together.
+Caller and callee run in this process over loopback with many calls in
+flight, so the measured processor time includes both ends.
 """
 
 import gc
@@ -23,14 +23,14 @@
 ADDRESS = "127.0.0.1:22950"
 HTTP_PORT = 22951
 LINK_PORT = 22952
-LINKS = 2000
-CALLS = 4000
-WINDOW = 50
+LINK_COUNT = 2000
+CALL_COUNT = 4000
+CONCURRENT_CALLS = 50
 KEY = b"a key for this measurement"
 
 
 def build_networks():
-    """Build a calling and a listening network."""
+    """Build the peer networks of the caller and of the callee."""
     delta = messages.encode_delta(
         messages.Delta(1, False, None, (), (), (), (), ())
     )
@@ -51,18 +51,20 @@
 
 
 @defer.inlineCallbacks
-def run_windowed(start_one):
-    """Run CALLS calls, WINDOW at once; return processor time each, in us."""
-    yield start_one()
+def run_windowed(start_call):
+    """Run calls in concurrent batches; return processor time each, in us."""
+    yield start_call()
     started = time.process_time()
-    for _ in range(CALLS // WINDOW):
-        yield defer.gatherResults([start_one() for _ in range(WINDOW)])
-    return (time.process_time() - started) / CALLS * 1e6
+    for _ in range(CALL_COUNT // CONCURRENT_CALLS):
+        yield defer.gatherResults(
+            [start_call() for _ in range(CONCURRENT_CALLS)]
+        )
+    return (time.process_time() - started) / CALL_COUNT * 1e6
 
 
 @defer.inlineCallbacks
 def measure_peer_call():
-    """Measure a heartbeat and its reply over a peer link."""
+    """Return the processor time of a heartbeat and its reply, in us."""
     calling, listening = build_networks()
     yield listening.listen(ADDRESS)
     vm = messages.rows.Vm("a@1", "a", "z", ADDRESS, 1, "ready")
@@ -73,7 +75,7 @@
 
 @defer.inlineCallbacks
 def measure_http_request():
-    """Measure a small POST, as an owner sends to an endpoint."""
+    """Return the processor time of an owner's POST to an endpoint, in us."""
     app = klein.Klein()
 
     @app.route("/run", methods=["POST"])
@@ -85,7 +87,7 @@
         HTTP_PORT, server.Site(app.resource()), interface="127.0.0.1"
     )
     client = endpoint_client.EndpointClient(
-        reactor, f"127.0.0.1:{HTTP_PORT}", WINDOW
+        reactor, f"127.0.0.1:{HTTP_PORT}", CONCURRENT_CALLS
     )
     body = b'"' + b"x" * 100 + b'"'
     cost = yield run_windowed(
@@ -96,7 +98,7 @@
 
 @defer.inlineCallbacks
 def measure_link_memory():
-    """Measure the memory of one open link, both ends, in bytes."""
+    """Return the memory of an open link, both ends, in bytes."""
     calling, listening = build_networks()
     first = LINK_PORT
     yield listening.listen(f"0.0.0.0:{first}")
@@ -104,17 +106,17 @@
     heartbeat = messages.Heartbeat(vm, 1, 1, ())
     gc.collect()
     tracemalloc.start()
-    for number in range(LINKS):
-        # Each address of the loopback network counts as another VM.
+    for number in range(LINK_COUNT):
+        # Each loopback address is treated as a separate VM.
         address = f"127.1.{number // 250}.{number % 250 + 1}:{first}"
         yield calling.call(address, heartbeat, 5.0)
     gc.collect()
-    return tracemalloc.get_traced_memory()[0] / LINKS
+    return tracemalloc.get_traced_memory()[0] / LINK_COUNT
 
 
 @defer.inlineCallbacks
 def measure_all():
-    """Measure and print all."""
+    """Measure and print all costs."""
     cost = yield measure_peer_call()
     print(f"peer call and reply, both ends: {cost:.0f} us")
     cost = yield measure_http_request()
@@ -124,7 +126,7 @@
 
 
 def main():
-    """Measure and stop."""
+    """Run all measurements, then stop the reactor."""
     reactor.callWhenRunning(
         lambda: measure_all().addBoth(lambda result: reactor.stop())
     )
