--- a/bench/nng_cost.py
+++ b/bench/nng_cost.py
@@ -1,6 +1,7 @@
-"""Processor time of an nng push to a pull in one process, on the reactor.
+"""Measures the processor time of an nng push and pull in one process.
 
-Compares the transport between control members with the framed links.
+The figure is for comparing the transport between control members with the
+framed peer links, which bench.link_cost measures.
 """
 
 import time
@@ -11,12 +12,12 @@
 from chervilspindle.wire import nng
 
 ADDRESS = "127.0.0.1:22960"
-MESSAGES = 5000
+MESSAGE_COUNT = 5000
 KEY = b"a key for this measurement"
 
 
-class Counter:
-    """Sends the next message when one arrives, and stops in the end."""
+class EchoBenchmark:
+    """Sends a message for each one received, up to MESSAGE_COUNT."""
 
     def __init__(self):
         self.count = 0
@@ -31,27 +32,27 @@
             self.transport.send(ADDRESS, b"x" * 200)
 
     def receive(self, data):
-        """Count a message."""
+        """Send the next message, or print the cost after the last one."""
         self.count += 1
-        if self.count < MESSAGES:
+        if self.count < MESSAGE_COUNT:
             self.transport.send(ADDRESS, data)
             return
-        if self.count == MESSAGES:
+        if self.count == MESSAGE_COUNT:
             spent = (time.process_time() - self.started) / self.count * 1e6
             print(f"nng message, both ends: {spent:.0f} us")
             reactor.callLater(0, reactor.stop)
 
 
-def stop_late():
-    """Stop a run that lost a message."""
+def stop_on_timeout():
+    """Stop a run that did not finish, for example after a lost message."""
     if reactor.running:
         reactor.stop()
 
 
 def main():
-    """Measure and stop."""
-    reactor.callWhenRunning(Counter().start)
-    reactor.callLater(30, stop_late)
+    """Run the measurement, for at most 30 s."""
+    reactor.callWhenRunning(EchoBenchmark().start)
+    reactor.callLater(30, stop_on_timeout)
     reactor.run()
 
 
