--- a/bench/link_cost.py
+++ b/bench/link_cost.py
@@ -52,7 +52,7 @@
 
 @defer.inlineCallbacks
 def run_windowed(start_call):
-    """Run calls in concurrent batches; return processor time each, in us."""
+    """Run CALL_COUNT calls in batches; return processor time each, in us."""
     yield start_call()
     started = time.process_time()
     for _ in range(CALL_COUNT // CONCURRENT_CALLS):
--- a/bench/nng_cost.py
+++ b/bench/nng_cost.py
@@ -17,7 +17,7 @@
 
 
 class EchoBenchmark:
-    """Sends a message for each one received, up to MESSAGE_COUNT."""
+    """Sends one message per arrival until MESSAGE_COUNT have arrived."""
 
     def __init__(self):
         self.count = 0
--- a/bench/recovery_times.py
+++ b/bench/recovery_times.py
@@ -29,7 +29,7 @@
 
 
 def measure_leader(deployment):
-    """Kill the leader; return the time until another is elected, in ms."""
+    """Kill the leader; return the time until status names another, in ms."""
     leader = deployment.get_leader()
     deployment.kill(leader)
     elapsed = wait_until(
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -266,7 +266,7 @@
 
 
 def build_lists_command(number, names):
-    """Build the command that replaces the customer and plan lists."""
+    """Build the command that sets the lists, with one row per customer."""
     plan = rows.Plan("plan", ("service-*",), 0.5, ("search",))
     customers = tuple(
         rows.Customer(name, "plan", "0" * 24, "f" * 64) for name in names
@@ -292,7 +292,7 @@
 
 
 def measure_snapshot(sizes):
-    """Measure the encoding of all tables for a periodic log snapshot."""
+    """Measure the encoding of a snapshot, taken every so many log entries."""
     for vms, endpoints in sizes:
         state = build_tables(vms, endpoints)
         yield endpoints, measure_us(
