--- a/bench/data_path_cost.py
+++ b/bench/data_path_cost.py
@@ -122,7 +122,7 @@
 
     :param shards: shards per query
     :param queries: queries to send after the warm-up
-    :param profile: print a profile instead of the costs
+    :param profile: print a profile of the entry instead of the costs
     """
     subnet = random.randrange(10, 250)
     port = soak.find_ports(1)[0]
--- a/bench/recovery_times.py
+++ b/bench/recovery_times.py
@@ -63,7 +63,7 @@
 
 
 def measure_change(deployment, number):
-    """Apply a change; return the time until all VMs use it, in ms."""
+    """Apply a change; return the ms until every VM confirms it."""
     revision = deployment.get_status()["revision"]
     status, body = deployment.apply(f"time-{number}", revision)
     assert status == 200
