--- a/chervilspindle/routing/fanout.py
+++ b/chervilspindle/routing/fanout.py
@@ -345,7 +345,7 @@
         table = self.context.table
         if table.count_endpoints(shard.service) <= len(set(shard.tried)):
             return False
-        if not self.context.budget.spend(shard.service):
+        if not self.context.budget.try_withdraw(shard.service):
             self.context.metrics.count_extra_send("over_budget")
             return False
         return True
--- a/chervilspindle/routing/request_timing_test.py
+++ b/chervilspindle/routing/request_timing_test.py
@@ -193,7 +193,7 @@
             for each in budgets:
                 each.update_totals(vms, total)
         for _ in range(wanted):
-            if budget.spend("s"):
+            if budget.try_withdraw("s"):
                 events.append((now[0], "extra"))
     return events
 
@@ -230,7 +230,7 @@
 def test_budget_is_small_until_the_vm_count_is_known():
     rule = retry_budget.Rule(0.2, 116.0, 10.0)
     budget = retry_budget.RetryBudget(rule, lambda: 0.0)
-    granted = sum(1 for _ in range(50) if budget.spend("s"))
+    granted = sum(1 for _ in range(50) if budget.try_withdraw("s"))
     assert granted <= 116.0 / retry_budget.ASSUMED_VMS
 
 
@@ -243,10 +243,10 @@
     for _ in range(5):
         budget.count_requests(("s",))
     assert budget.read_peak_requests() == 5
-    assert sum(budget.spend("s") for _ in range(9)) == 2
+    assert sum(budget.try_withdraw("s") for _ in range(9)) == 2
     budget.update_totals(102, 120)
-    assert sum(budget.spend("s") for _ in range(9)) == 3
+    assert sum(budget.try_withdraw("s") for _ in range(9)) == 3
     now[0] += 11.0
     budget.count_requests(("s",))
     budget.update_totals(102, 600)
-    assert sum(budget.spend("s") for _ in range(9)) <= 2
+    assert sum(budget.try_withdraw("s") for _ in range(9)) <= 2
--- a/chervilspindle/routing/retry_budget.py
+++ b/chervilspindle/routing/retry_budget.py
@@ -79,7 +79,7 @@
             current = self._open_slice(service, number)
             current[1] += 1
 
-    def spend(self, service: str) -> bool:
+    def try_withdraw(self, service: str) -> bool:
         """Charge one extra send if the budget allows it.
 
         Returns
--- a/chervilspindle/routing/single_endpoint.py
+++ b/chervilspindle/routing/single_endpoint.py
@@ -96,7 +96,7 @@
         target = self.context.table.choose(self.service, self.tried)
         if target is None:
             return False
-        if not self.context.budget.spend(self.service):
+        if not self.context.budget.try_withdraw(self.service):
             self.context.metrics.count_extra_send("over_budget")
             return False
         self.context.metrics.count_extra_send(cause)
