--- a/chervilspindle/routing/contexts.py
+++ b/chervilspindle/routing/contexts.py
@@ -18,7 +18,7 @@
     ----------
     vm_id, zone : str
     core_share : float
-        Share of a core that the process may use.
+        Share of a CPU core that the process may use.
     link_mbps : float
         Bandwidth of the VM's link, in Mbit/s.
     """
--- a/chervilspindle/routing/data_path_test.py
+++ b/chervilspindle/routing/data_path_test.py
@@ -1,4 +1,4 @@
-"""Tests of routed requests against stand-in endpoints, over real sockets."""
+"""Tests of routed requests against simulated endpoints, over real sockets."""
 
 import asyncio
 import gc
--- a/chervilspindle/routing/endpoint_calls.py
+++ b/chervilspindle/routing/endpoint_calls.py
@@ -94,7 +94,7 @@
     Parameters
     ----------
     core_share : float
-        Share of a core that the process may use.
+        Share of a CPU core that the process may use.
     link_mbps : float
         Bandwidth of the VM's link, in Mbit/s.
     """
--- a/chervilspindle/routing/retry_budget.py
+++ b/chervilspindle/routing/retry_budget.py
@@ -7,7 +7,7 @@
 
 With many VMs, the even parts of the base are too small to be useful. While
 the total of requests in a window, as counted by control, is so small that
-one extra send for each request stays within the budget, each VM may spend
+one extra send for each request stays within the budget, each VM may make
 one extra send for each of its own requests.
 """
 
--- a/chervilspindle/routing/watch_client.py
+++ b/chervilspindle/routing/watch_client.py
@@ -58,7 +58,7 @@
     on_totals : callable
         ``on_totals(watchers, requests)`` receives the number of entries and
         the sum of their requests.
-    read_requests : callable
+    read_peak_requests : callable
         Returns the number of requests that this entry reports.
     on_relays : callable
         ``on_relays(fingerprint, relays)`` receives a changed relay list.
