--- a/chervilspindle/policy/hedging.py
+++ b/chervilspindle/policy/hedging.py
@@ -1,9 +1,10 @@
 """Decides when to hedge, and budgets the extra load on endpoints.
 
 A part that takes long compared with recent parts of its service is also sent
-to another replica (Dean and Barroso, "The Tail at Scale", 2013). Until its
-delay exceeds `UNCONDITIONAL_RATIO`, this requires that enough other parts of
-its query are answered: if most are late, none is a straggler.
+to another replica (Dean and Barroso, "The Tail at Scale", 2013). Until it is
+unanswered for `UNCONDITIONAL_RATIO` times the hedge delay, this requires that
+enough other parts of its query are answered: if most are late, none is a
+straggler.
 
 First sends add tokens to the budgets that hedges and retries draw on, so the
 extra load is a fixed share of the first sends even when every request is
--- a/chervilspindle/policy/limits.py
+++ b/chervilspindle/policy/limits.py
@@ -33,7 +33,7 @@
     slots : int
         Upper bound of the limit, announced by the endpoint.
     limit : float
-        Present limit; `get_limit` rounds it down.
+        Current limit; `get_limit` rounds it down.
     service_ms : float
         Smoothed service time.
     baseline_ms : float
