--- a/chervilspindle/query/gather.py
+++ b/chervilspindle/query/gather.py
@@ -42,7 +42,8 @@
     explainer : Explainer
     metrics : Metrics
     extra_load_share : float
-        Hedges allowed per part sent.
+        Hedges allowed per first send of a part. Rescues (hedges that were
+        refused at first) have a second budget of the same size.
     random : random.Random
     baselines : tuple of str
         Mechanisms that are disabled, for baseline measurements.
@@ -314,8 +315,8 @@
         """Send a late part to another replica, if the budget allows it.
 
         A part that the hedge budget refused is checked once more after the
-        same delay. If it is still unanswered, its hedge ("rescue") spends a
-        separate budget. Such parts are rare unless endpoints are slow, so
+        same delay. If it is still unanswered, its hedge ("rescue") draws on
+        a separate budget. Such parts are rare unless endpoints are slow, so
         this adds load only when it is useful.
         """
         if shard.settled or len(shard.tried) >= MAX_SENDS:
@@ -329,7 +330,7 @@
         endpoint_id = self._choose_hedge(shard)
         if endpoint_id is None:
             return
-        if not self._spend_hedge(is_rescue):
+        if not self._try_withdraw_hedge(is_rescue):
             self._refuse_hedge(query, shard, endpoint_id, is_rescue)
             return
         query.hedges += 1
@@ -346,7 +347,7 @@
             len(query.shards), query.unsettled_count, delay_ratio
         )
 
-    def _spend_hedge(self, is_rescue):
+    def _try_withdraw_hedge(self, is_rescue):
         if is_rescue:
             self.rescue_budget, granted = hedging.try_withdraw(
                 self.rescue_budget
