--- a/chervilspindle/control/leader.py
+++ b/chervilspindle/control/leader.py
@@ -42,7 +42,7 @@
         self.revision_by_session = {}
         self.assignment_pending = False
         self.next_rebalance_ms = -math.inf
-        # Index and its change count when no moves were needed.
+        # Placement index and its change count when no moves were needed.
         self.last_balanced = None
         self.next_expiry_ms = -math.inf
         node.leader_listeners.append(self._on_elected)
