--- a/chervilspindle/query/directory.py
+++ b/chervilspindle/query/directory.py
@@ -59,7 +59,7 @@
         if delta.version < self.version:
             return False
         if delta.lists and delta.lists.revision < self.lists.revision:
-            LOGGER.error("refused a delta with an older revision of the lists")
+            LOGGER.error("refused a delta with older customer and plan lists")
             return False
         changed_ids = set()
         if delta.full:
--- a/chervilspindle/query/endpoint_state.py
+++ b/chervilspindle/query/endpoint_state.py
@@ -111,7 +111,7 @@
         self.queue = fairness.FairQueue(is_queued)
         self.running = {}
         self.last_announced_ms = now
-        # Requests of an earlier owner may still run. All slots count as
+        # Requests of a previous owner may still run. All slots count as
         # occupied until the number of these requests is reported.
         self.inherited_running = 0 if epoch == 1 else row.slots
         self.inherited_until_ms = 0.0 if epoch == 1 else now + MAX_DEADLINE_MS
