--- a/chervilspindle/control/frontend.py
+++ b/chervilspindle/control/frontend.py
@@ -1,10 +1,11 @@
 """Serves endpoints, operators and entry processes at any control member.
 
 Announcements of endpoints and routing documents of operators are forwarded to
-the leader and acknowledged once they are committed. A member acknowledges an
-announcement without changes by itself. Members periodically report to the
-leader which endpoints announced themselves, so that the leader can mark
-endpoints as lost that no member has heard from.
+the leader and acknowledged once they are committed. A control member
+acknowledges an announcement without changes by itself. Members periodically
+report to the leader which endpoints announced themselves, so that the leader
+can mark endpoints as lost that no member has heard from. An entry is the
+process on a VM that accepts callers' requests.
 """
 
 import functools
--- a/chervilspindle/control/watch.py
+++ b/chervilspindle/control/watch.py
@@ -1,9 +1,10 @@
 """Sends entry processes the changes of the replicated tables.
 
-An entry long-polls one member with a watch call, which is answered when rows
-have changed, or after a while without changes. Any member may be watched:
-versions of committed rows only increase, and the reply has the time since the
-member last heard from the leader.
+An entry is the process on a VM that accepts callers' requests. It long-polls
+one control member with a watch call, which is answered when rows have
+changed, or after a while without changes. Any member may be watched: versions
+of committed rows only increase, and the reply has the time since the member
+last heard from the leader.
 """
 
 import math
--- a/chervilspindle/query/endpoint_state.py
+++ b/chervilspindle/query/endpoint_state.py
@@ -17,7 +17,8 @@
 class Job(typing.NamedTuple):
     """What to run: a part of a query, or a command.
 
-    `key` is that of the command, None for a part of a query.
+    `key` is the shard key of the command, whose hash selects the shard. It is
+    None for a part of a query.
     """
 
     request_id: str
--- a/chervilspindle/routing/relayed_query.py
+++ b/chervilspindle/routing/relayed_query.py
@@ -114,7 +114,7 @@
         message : endpoint_calls.RequestTemplate
         request : messages.RelayedRequest
         listener
-            Receives ``on_part_set(dispatch, part_set, usual_ms)``,
+            Receives ``on_part_set(dispatch, part_set, mean_part_ms)``,
             ``on_parts_lost(dispatch, losses)`` and
             ``on_endpoint_chosen(dispatch, service, endpoint_id)``.
         """
