--- a/chervilspindle/tools/fault_proxy.py
+++ b/chervilspindle/tools/fault_proxy.py
@@ -1,4 +1,4 @@
-"""Loopback proxy that misbehaves as a network does."""
+"""Loopback TCP proxy that injects network faults."""
 
 import asyncio
 
@@ -6,16 +6,16 @@
 
 
 class FaultProxy:
-    """Passes connections on to one address.
+    """Forwards connections to one address.
 
     Attributes
     ----------
     delay_s : float
-        Added to each piece, in both directions.
+        Delay of each chunk read, in both directions.
     silent : bool
-        Takes bytes and passes none on, in both directions.
+        Reads and discards all bytes, in both directions.
     one_way : bool
-        Passes requests on, but no answers.
+        Forwards requests but discards answers.
     refusing : bool
         Resets new connections.
     """
@@ -33,7 +33,7 @@
         self.server = None
 
     async def start(self, address: str):
-        """Listen."""
+        """Listen on an address of the form ``IP:PORT``."""
         host, port = address.rsplit(":", 1)
         self.server = await asyncio.start_server(self._accept, host, int(port))
 
@@ -42,8 +42,8 @@
         for writer in list(self.writers):
             writer.transport.abort()
 
-    def heal(self):
-        """Behave again; connections that were silenced are reset."""
+    def clear_faults(self):
+        """Clear all faults; reset connections if bytes were discarded."""
         broken = self.silent or self.one_way
         self.delay_s = 0.0
         self.silent = self.one_way = self.refusing = False
@@ -51,7 +51,7 @@
             self.reset_all()
 
     def stop(self):
-        """Close everything."""
+        """Close the listener and reset all connections."""
         if self.server is not None:
             self.server.close()
         self.reset_all()
@@ -80,7 +80,7 @@
             self.tasks.difference_update(pumps)
             self.writers.discard(outer)
         except OSError:
-            # The endpoint is down: the caller sees its connection reset.
+            # The endpoint is down: reset the caller's connection.
             writer.transport.abort()
         finally:
             self.writers.discard(writer)
--- a/chervilspindle/tools/soak.py
+++ b/chervilspindle/tools/soak.py
@@ -1,8 +1,9 @@
-"""Randomized fault soak: real processes on loopback, promises checked.
+"""Randomized fault-injection soak over real processes on loopback.
 
-Entries and control members run as processes of their own. Faults come from
-outside: signals, wiped disks, and a proxy before each endpoint. Promises are
-judged from what callers, operators and endpoints see.
+Each entry and control member runs in its own process. Faults are injected
+from outside the processes: signals, wiped data folders, and a proxy in front
+of each endpoint. The promised guarantees are checked against what callers,
+operators and endpoints observe.
 """
 
 import asyncio
@@ -31,19 +32,19 @@
 CONNECTIONS = 60
 TOP_K = 5
 MIN_COVERAGE = 0.5
-APPLY_S = 3.0  # an accepted change is in force everywhere after this
-DRAIN_S = 3.0  # an endpoint that leaves gets no new work after this
-TOUCH_S = 4.0  # undisturbed time after which bounds hold again
-SETTLE_S = 10.0  # recovery at the end of a run
-BEAT_S = 0.6
-REQUEST_S = 0.02
-GRACE_S = 6.0
+APPLY_S = 3.0  # limit for an accepted change to reach all entries
+DRAIN_S = 3.0  # a draining endpoint gets no new work after this
+RECOVERY_S = 4.0  # undisturbed time after which time limits apply
+FINAL_RECOVERY_S = 10.0  # wait before the checks at the end of a run
+ANNOUNCE_INTERVAL_S = 0.6
+MEAN_ARRIVAL_INTERVAL_S = 0.02
+SHUTDOWN_GRACE_S = 6.0
 MEMBERS = 3
 ENTRIES = 4
 
 
 class Finding(typing.NamedTuple):
-    """One promise that did not hold."""
+    """One observed violation of a promise."""
 
     at_s: float
     promise: str
@@ -51,7 +52,7 @@
 
 
 class Node:
-    """One process of the system."""
+    """A control member or an entry, run as a process that can restart."""
 
     def __init__(self, folder, name, ip, ports, serves_control):
         self.name = name
@@ -77,7 +78,7 @@
                 "front": f"{self.ip}:{front}",
                 "ready": f"{self.ip}:{ready}",
             }
-        found = samples.build_settings(
+        settings = samples.build_settings(
             self.name,
             self.ip,
             addresses,
@@ -86,13 +87,13 @@
             first_start,
             self.data if self.serves_control else None,
             MEMBERS // 2,
-            GRACE_S,
+            SHUTDOWN_GRACE_S,
         )
         with open(self.settings, "w", encoding="utf-8") as handle:
-            json.dump(found, handle)
+            json.dump(settings, handle)
 
     async def start(self):
-        """Start the process; its log goes on in the same file."""
+        """Start the process, appending to the log of earlier starts."""
         self.log = open(self.get_log_path(), "ab")
         self.log_offset = os.path.getsize(self.get_log_path())
         environment = {**os.environ, names.SETTINGS_VARIABLE: self.settings}
@@ -106,22 +107,22 @@
         )
 
     def get_log_path(self):
-        """Return the path of the log of all its processes."""
+        """Return the path of the log that all starts of the node share."""
         return os.path.join(self.folder, "log")
 
     def has_served(self):
-        """Tell whether the present process came to listen."""
+        """Return whether the current process has logged that it serves."""
         with open(self.get_log_path(), "rb") as handle:
             handle.seek(self.log_offset)
             return b'"message": "serving"' in handle.read()
 
     def send_signal(self, number):
-        """Send a signal to this process, if it runs."""
+        """Send a signal to the process if it is running."""
         if self.process is not None and self.process.returncode is None:
             self.process.send_signal(number)
 
-    async def end(self, number):
-        """End the process and wait for it."""
+    async def stop(self, number):
+        """Send a signal to the process and wait until it has exited."""
         self.send_signal(number)
         if self.process is not None:
             await self.process.wait()
@@ -130,7 +131,7 @@
 
 
 class Soak:
-    """One run.
+    """One soak run: the processes, the faults, the load and the checks.
 
     Parameters
     ----------
@@ -138,7 +139,7 @@
     seed : int
     seconds : float
     folder : str
-        Data and logs of the processes.
+        Where the processes keep their data and logs.
     """
 
     def __init__(self, loop, seed: int, seconds: float, folder: str):
@@ -183,13 +184,13 @@
                 self.backends.append(backend)
                 self.proxy_by_id[endpoint_id] = proxy
 
-    def find(self, promise, detail):
-        """Record that a promise did not hold."""
+    def record_violation(self, promise, detail):
+        """Record a violation of a promise."""
         at = round(self.loop.time() - self.started_s, 3)
         self.findings.append(Finding(at, promise, detail))
 
     async def run(self):
-        """Play the whole run; returns the findings."""
+        """Run the soak and return its findings."""
         seeds = [f"{m.ip}:{m.ports[2]}" for m in self.members]
         for node in (*self.members, *self.entries):
             node.write_settings(seeds, True)
@@ -206,8 +207,12 @@
             for node in (*self.members, *self.entries):
                 node.write_settings(seeds, False)
             await asyncio.sleep(2.0)
-            for job in (self._ask_all, self._operate, self._disturb):
-                tasks.append(self.loop.create_task(job()))
+            for activity in (
+                self._generate_load,
+                self._run_operator,
+                self._inject_faults,
+            ):
+                tasks.append(self.loop.create_task(activity()))
             await asyncio.sleep(self.seconds)
             self.stopping = True
             await asyncio.wait(tasks[1:], timeout=30)
@@ -217,7 +222,7 @@
             for task in tasks:
                 task.cancel()
             for node in (*self.members, *self.entries):
-                await node.end(signal.SIGKILL)
+                await node.stop(signal.SIGKILL)
             for backend in self.backends:
                 backend.stop()
                 self.proxy_by_id[backend.endpoint_id].stop()
@@ -230,7 +235,7 @@
             for backend in self.backends:
                 if backend.endpoint_id not in self.left_at_by_id:
                     self.loop.create_task(self._announce(backend))
-            await asyncio.sleep(BEAT_S)
+            await asyncio.sleep(ANNOUNCE_INTERVAL_S)
 
     async def _announce(self, backend):
         value = backend.build_announcement()
@@ -280,12 +285,16 @@
                 self.acked.append((self.loop.time(), document["version"]))
                 return
             if 400 <= status < 500:
-                self.find("valid change refused", f"status {status}")
+                self.record_violation(
+                    "valid change refused", f"status {status}"
+                )
                 return
             await asyncio.sleep(0.3)
-        self.find("change not acknowledged", f"version {document['version']}")
+        self.record_violation(
+            "change not acknowledged", f"version {document['version']}"
+        )
 
-    async def _operate(self):
+    async def _run_operator(self):
         while not self.stopping:
             await asyncio.sleep(self.random.uniform(0.5, 3.0))
             await self._put_document()
@@ -293,20 +302,20 @@
             self.loop.create_task(self._check_in_force(self.acked[-1]))
 
     async def _check_read(self, member):
-        """A read never gives a version older than one long acknowledged."""
+        """Check that a read is no older than what was acked APPLY_S ago."""
         newest = self._newest_acked(self.loop.time() - APPLY_S)
         status, data = await self._call_control(
             "GET", "/api/config", member=member
         )
         if status == 200 and json.loads(data)["version"] < newest:
-            self.find("read is older", data[:40].decode())
+            self.record_violation("read is older", data[:40].decode())
         return status
 
     def _newest_acked(self, before):
         return max((v for at, v in self.acked if at <= before), default=0)
 
     async def _check_in_force(self, acked):
-        """All undisturbed entries serve a version some seconds after it."""
+        """Check that undisturbed entries serve a version within APPLY_S."""
         at, version = acked
         await asyncio.sleep(max(0.0, at + APPLY_S - self.loop.time()))
         if self._newest_acked(self.loop.time()) != version:
@@ -314,37 +323,41 @@
         for entry in self.entries:
             if self._is_disturbed(entry):
                 continue
-            status = await self._ask_one(entry, f"/v{version}/x", "GET")
+            status = await self._send_request(entry, f"/v{version}/x", "GET")
             superseded = self._newest_acked(self.loop.time()) != version
             if status == 404 and not superseded:
                 if not self._is_disturbed(entry):
-                    self.find("change not in force", f"{entry.name} {version}")
+                    self.record_violation(
+                        "change not in force", f"{entry.name} {version}"
+                    )
 
     def _is_disturbed(self, node):
         nodes = (node, *self.members)
         last = max(n.disturbed_s for n in nodes)
         if any(n.busy for n in nodes):
             return True
-        return self.loop.time() - last < TOUCH_S
+        return self.loop.time() - last < RECOVERY_S
 
-    # Callers.
+    # Load from callers, and checks of the answers.
 
-    async def _ask_all(self):
-        asking = set()
+    async def _generate_load(self):
+        pending = set()
         while not self.stopping:
             entry = self.random.choice(self.entries)
             if self.random.random() < 0.6:
-                job = self._ask_one(entry, "/all/x", "GET")
+                coroutine = self._send_request(entry, "/all/x", "GET")
             else:
-                job = self._ask_one(entry, "/once/x", "POST")
-            task = self.loop.create_task(job)
-            asking.add(task)
-            task.add_done_callback(asking.discard)
-            await asyncio.sleep(self.random.expovariate(1 / REQUEST_S))
-        if asking:
-            await asyncio.wait(asking, timeout=5)
-
-    async def _ask_one(self, entry, path, method):
+                coroutine = self._send_request(entry, "/once/x", "POST")
+            task = self.loop.create_task(coroutine)
+            pending.add(task)
+            task.add_done_callback(pending.discard)
+            await asyncio.sleep(
+                self.random.expovariate(1 / MEAN_ARRIVAL_INTERVAL_S)
+            )
+        if pending:
+            await asyncio.wait(pending, timeout=5)
+
+    async def _send_request(self, entry, path, method):
         self.sequence += 1
         request_id = f"r{self.sequence}"
         headers = {
@@ -353,17 +366,17 @@
         }
         body = request_id.encode() if method == "POST" else b""
         front = entry.ports[0]
-        calling = exchange(entry.ip, front, method, path, headers, body)
+        call = exchange(entry.ip, front, method, path, headers, body)
         try:
-            status, found, data = await asyncio.wait_for(calling, 4.0)
+            status, response_headers, data = await asyncio.wait_for(call, 4.0)
         except (OSError, asyncio.TimeoutError, asyncio.IncompleteReadError):
             self.counts["no answer"] += 1
             return 0
         self.counts[f"{path.split('/')[1][:4]} {status}"] += 1
         if status == 200 and path.startswith("/all/"):
-            self._check_answer(request_id, found, data)
+            self._check_answer(request_id, response_headers, data)
         elif status == 200 and method == "POST":
-            self._check_single(request_id, found, data)
+            self._check_single(request_id, response_headers, data)
         elif status in (429, 503) and method == "POST":
             self.refused_ids.add(request_id)
         return status
@@ -376,32 +389,38 @@
             endpoint_id, _, for_id = stamp.strip().partition(".")
             services.append(endpoint_id.rsplit("-", 1)[0])
             if for_id != request_id:
-                self.find("another caller's part", f"{stamp} {request_id}")
+                self.record_violation(
+                    "another caller's part", f"{stamp} {request_id}"
+                )
         if len(set(services)) < len(services) or not set(services) <= set(
             SHARDS
         ):
-            self.find("parts of no one version", str(services))
+            self.record_violation("parts of no one version", str(services))
         if len(services) + missing != len(SHARDS):
-            self.find("untrue coverage", f"{services} and {missing}")
+            self.record_violation(
+                "untrue coverage", f"{services} and {missing}"
+            )
         if len(services) < MIN_COVERAGE * len(SHARDS):
-            self.find("too few parts", str(services))
+            self.record_violation("too few parts", str(services))
         by_service = {b.service: b for b in self.backends}
         bodies = [
             by_service[s].build_body(request_id.encode()) for s in services
         ]
         if body != record_merging.merge_top(bodies, TOP_K):
-            self.find("wrong records", request_id)
+            self.record_violation("wrong records", request_id)
 
     def _check_single(self, request_id, headers, body):
         stamp = headers.get(names.HEADERS.stamp.lower(), "")
         if stamp.partition(".")[2] != request_id:
-            self.find("another caller's answer", f"{stamp} {request_id}")
+            self.record_violation(
+                "another caller's answer", f"{stamp} {request_id}"
+            )
         if body != self.backends[-1].build_body(request_id.encode()):
-            self.find("answer is not whole", request_id)
+            self.record_violation("answer is not whole", request_id)
 
-    # Faults.
+    # Fault injection.
 
-    async def _disturb(self):
+    async def _inject_faults(self):
         running = set()
         while not self.stopping:
             fault = self.random.choice(
@@ -411,9 +430,9 @@
                     self._freeze,
                     self._restart,
                     self._wipe,
-                    self._harm_endpoint,
-                    self._harm_endpoint,
-                    self._harm_endpoint,
+                    self._inject_endpoint_fault,
+                    self._inject_endpoint_fault,
+                    self._inject_endpoint_fault,
                     self._drain_endpoint,
                 )
             )
@@ -424,11 +443,14 @@
         if running:
             await asyncio.wait(running, timeout=20)
 
-    def _take(self, nodes):
-        """Pick a node to disturb; a majority of control stays whole."""
+    def _acquire_node(self, nodes):
+        """Reserve a random node for a fault, or return None.
+
+        A majority of the control members is always left undisturbed.
+        """
         free = [n for n in nodes if not n.busy]
         if nodes is self.members:
-            away = sum(1 for n in nodes if self._was_lately_away(n))
+            away = sum(1 for n in nodes if self._is_recently_disturbed(n))
             if away >= MEMBERS // 2:
                 return None
         if not free:
@@ -439,10 +461,10 @@
         self.counts[f"fault on {node.name[:4]}"] += 1
         return node
 
-    def _was_lately_away(self, node):
-        return node.busy or self.loop.time() - node.disturbed_s < TOUCH_S
+    def _is_recently_disturbed(self, node):
+        return node.busy or self.loop.time() - node.disturbed_s < RECOVERY_S
 
-    def _give_back(self, node):
+    def _release_node(self, node):
         node.disturbed_s = self.loop.time()
         node.busy = False
 
@@ -450,54 +472,56 @@
         return self.random.choice((self.members, self.entries, self.entries))
 
     async def _kill(self):
-        node = self._take(self._pick_group())
+        node = self._acquire_node(self._pick_group())
         if node is None:
             return
-        await node.end(signal.SIGKILL)
+        await node.stop(signal.SIGKILL)
         await asyncio.sleep(self.random.uniform(0.1, 2.0))
         await node.start()
-        self._give_back(node)
+        self._release_node(node)
 
     async def _freeze(self):
-        node = self._take(self._pick_group())
+        node = self._acquire_node(self._pick_group())
         if node is None:
             return
         node.send_signal(signal.SIGSTOP)
         await asyncio.sleep(self.random.uniform(0.3, 4.0))
         node.send_signal(signal.SIGCONT)
-        self._give_back(node)
+        self._release_node(node)
 
     async def _restart(self):
-        node = self._take(self._pick_group())
+        node = self._acquire_node(self._pick_group())
         if node is None:
             return
         node.send_signal(signal.SIGTERM)
         try:
-            await asyncio.wait_for(node.process.wait(), GRACE_S)
+            await asyncio.wait_for(node.process.wait(), SHUTDOWN_GRACE_S)
             code = node.process.returncode
-            # The interpreter itself ends a process that gets the signal
-            # before any code of ours runs; it holds no work yet.
+            # A SIGTERM that arrives before any project code has run ends
+            # the interpreter with -15; the process has no requests yet.
             early = code == -signal.SIGTERM and not node.has_served()
             if code != 0 and not early:
-                self.find("shutdown failed", f"{node.name}: {code}")
+                self.record_violation(
+                    "shutdown failed", f"{node.name}: {code}"
+                )
         except asyncio.TimeoutError:
-            self.find("shutdown took too long", node.name)
-        await node.end(signal.SIGKILL)
+            self.record_violation("shutdown took too long", node.name)
+        await node.stop(signal.SIGKILL)
         await node.start()
-        self._give_back(node)
+        self._release_node(node)
 
     async def _wipe(self):
-        node = self._take(self.members)
+        node = self._acquire_node(self.members)
         if node is None:
             return
-        await node.end(signal.SIGKILL)
+        await node.stop(signal.SIGKILL)
         shutil.rmtree(node.data)
         os.makedirs(node.data)
         await asyncio.sleep(self.random.uniform(0.1, 1.0))
         await node.start()
-        self._give_back(node)
+        self._release_node(node)
 
-    async def _harm_endpoint(self):
+    async def _inject_endpoint_fault(self):
         backend = self.random.choice(self.backends)
         proxy = self.proxy_by_id[backend.endpoint_id]
         kind = self.random.choice(
@@ -525,16 +549,16 @@
         else:
             backend.lose_share = 0.3
         await asyncio.sleep(self.random.uniform(0.2, 4.0))
-        self._heal_endpoint(backend)
+        self._clear_endpoint_faults(backend)
 
-    def _heal_endpoint(self, backend):
-        self.proxy_by_id[backend.endpoint_id].heal()
+    def _clear_endpoint_faults(self, backend):
+        self.proxy_by_id[backend.endpoint_id].clear_faults()
         backend.failing = backend.refusing = False
         backend.lose_share = 0.0
         backend.resume()
 
     async def _drain_endpoint(self):
-        """Let an endpoint leave, and come back as a new process."""
+        """Drain an endpoint, then bring it back as a new incarnation."""
         backend = self.random.choice(self.backends)
         if backend.state != "ready":
             return
@@ -547,39 +571,47 @@
         left = self.left_at_by_id.get(backend.endpoint_id, self.loop.time())
         await asyncio.sleep(max(0.0, left + DRAIN_S - self.loop.time()))
         count = len(backend.runs)
-        calm = not any(self._is_disturbed(e) for e in self.entries)
+        undisturbed_before = not any(
+            self._is_disturbed(e) for e in self.entries
+        )
         await asyncio.sleep(0.5)
-        still = not any(self._is_disturbed(e) for e in self.entries)
-        if calm and still and len(backend.runs) > count:
-            self.find("work after draining", backend.endpoint_id)
+        undisturbed_after = not any(
+            self._is_disturbed(e) for e in self.entries
+        )
+        if (
+            undisturbed_before
+            and undisturbed_after
+            and len(backend.runs) > count
+        ):
+            self.record_violation("work after draining", backend.endpoint_id)
         backend.born += 1000
         backend.sequence = 0
         backend.state = "ready"
         self.left_at_by_id.pop(backend.endpoint_id, None)
 
-    # The end.
+    # Checks at the end of the run.
 
     async def _check_recovery(self):
         for backend in self.backends:
-            self._heal_endpoint(backend)
+            self._clear_endpoint_faults(backend)
         for node in (*self.members, *self.entries):
             node.send_signal(signal.SIGCONT)
             if node.process.returncode is not None:
-                self.find("process ended by itself", node.name)
+                self.record_violation("process ended by itself", node.name)
                 await node.start()
-        await asyncio.sleep(SETTLE_S)
+        await asyncio.sleep(FINAL_RECOVERY_S)
         version = self._newest_acked(self.loop.time())
         for entry in self.entries:
             for path in ("/all/x", f"/v{version}/x"):
-                status = await self._ask_one(entry, path, "GET")
+                status = await self._send_request(entry, path, "GET")
                 if status != 200:
                     text = f"{entry.name} {path} {status}"
-                    self.find("not served after recovery", text)
+                    self.record_violation("not served after recovery", text)
         for member in self.members:
             status = await self._check_read(member)
             if status != 200:
                 text = f"{member.name} {status}"
-                self.find("not readable after recovery", text)
+                self.record_violation("not readable after recovery", text)
 
     def _check_runs(self):
         runs = collections.Counter(
@@ -590,9 +622,11 @@
         )
         for request_id, count in runs.items():
             if count > 1:
-                self.find("ran more than once", f"{request_id} {count}")
+                self.record_violation(
+                    "ran more than once", f"{request_id} {count}"
+                )
             if request_id in self.refused_ids:
-                self.find("ran though refused", request_id)
+                self.record_violation("ran though refused", request_id)
 
 
 async def exchange(host, port, method, path, headers, body):
@@ -610,15 +644,24 @@
         writer.write("\r\n".join(lines).encode() + body)
         head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
         rows = head.split("\r\n")
-        found = dict(r.lower().split(": ", 1) for r in rows[1:] if ": " in r)
-        length = int(found.get("content-length", "0"))
-        return int(rows[0].split()[1]), found, await reader.readexactly(length)
+        response_headers = dict(
+            r.lower().split(": ", 1) for r in rows[1:] if ": " in r
+        )
+        length = int(response_headers.get("content-length", "0"))
+        return (
+            int(rows[0].split()[1]),
+            response_headers,
+            await reader.readexactly(length),
+        )
     finally:
         writer.close()
 
 
 def find_ports(count: int) -> list[int]:
-    """Return ports that are free now, with room for a second one above."""
+    """Return ports that are free on 127.0.0.1 at the time of the call.
+
+    Callers that also use the port above each of them do so unchecked.
+    """
     probes = [socket.socket() for _ in range(count)]
     try:
         for probe in probes:
@@ -630,7 +673,7 @@
 
 
 def run_soak(seed: int, seconds: float, keep: str = ""):
-    """Run one seed.
+    """Run one soak and remove its folder unless `keep` names one.
 
     Returns
     -------
