--- a/chervilspindle/tools/backends.py
+++ b/chervilspindle/tools/backends.py
@@ -1,7 +1,7 @@
-"""Stand-in endpoints of the platform, for tests, the soak and the demo.
+"""Stand-in endpoints of the platform, for tests and the soak.
 
-Each keeps a record of what it ran, so that promises can be checked from what
-endpoints saw. Faults are set on its attributes while it runs.
+Each records the requests that it ran, so that checks can use what endpoints
+observed. Faults are switched on by setting attributes at run time.
 """
 
 import random
@@ -18,7 +18,7 @@
 
 
 class Run(typing.NamedTuple):
-    """One request that an endpoint began to work on."""
+    """One request that an endpoint started to run."""
 
     request_id: str
     method: str
@@ -27,7 +27,7 @@
 
 
 class Backend:
-    """One endpoint.
+    """One stand-in endpoint.
 
     Parameters
     ----------
@@ -40,15 +40,16 @@
     Attributes
     ----------
     work_s : float
-        Time to answer.
+        Time from the start of a request to its answer.
     paused : bool
-        Takes requests and answers none.
+        Accepts requests but holds them until `resume`.
     refusing : bool
-        Refuses all requests without running them.
+        Answers 503 to all requests without running them.
     failing : bool
-        Answers all requests with a failure.
+        Runs all requests and answers 500.
     lose_share : float
-        Share of the answers whose connection breaks after the run.
+        Share of the requests that run but whose connection is then
+        aborted instead of an answer.
     """
 
     def __init__(
@@ -66,9 +67,9 @@
         self.failing = False
         self.lose_share = 0.0
         self.runs = []
-        self.held = []
+        self.paused_exchanges = []
         self.sequence = 0
-        self.born = 0
+        self.incarnation = 0
         self.state = "ready"
         self.random = random.Random(endpoint_id)
         self.timers = timers_module.TimerService(clock)
@@ -77,7 +78,7 @@
         )
 
     async def start(self):
-        """Listen; a second start takes the same address again."""
+        """Listen on `address`, also again after a stop."""
         await self.server.listen(self.address, 64)
 
     def stop(self):
@@ -85,14 +86,14 @@
         self.server.stop()
 
     def resume(self):
-        """Answer what came in while paused."""
+        """Stop pausing and run the requests that arrived meanwhile."""
         self.paused = False
-        held, self.held = self.held, []
-        for exchange in held:
+        exchanges, self.paused_exchanges = self.paused_exchanges, []
+        for exchange in exchanges:
             self._run(exchange)
 
     def build_row(self) -> rows.Endpoint:
-        """Return the endpoint as control would tell entries of it."""
+        """Return the row that control would send to entries."""
         return rows.Endpoint(
             self.endpoint_id,
             self.service,
@@ -107,7 +108,7 @@
         )
 
     def build_announcement(self) -> dict:
-        """Return the next announcement, as the platform words it."""
+        """Return the next announcement in the platform's format."""
         self.sequence += 1
         return samples.build_announcement(
             self.service,
@@ -115,7 +116,7 @@
             self.zone,
             self.state,
             self.sequence,
-            self.born,
+            self.incarnation,
         )
 
     def _handle(self, exchange):
@@ -127,7 +128,7 @@
         elif self.refusing:
             exchange.respond(503, self._build_refusal())
         elif self.paused:
-            self.held.append(exchange)
+            self.paused_exchanges.append(exchange)
         else:
             self._run(exchange)
 
@@ -168,6 +169,6 @@
         exchange.respond(200, headers, self.build_body(request_id))
 
     def build_body(self, request_id: bytes) -> bytes:
-        """Return the records for a request; the same for each replica."""
-        draw = random.Random(f"{self.service} {request_id!r}")
-        return draw.randbytes(self.records * RECORD_BYTES)
+        """Return the records for a request, equal on all replicas."""
+        generator = random.Random(f"{self.service} {request_id!r}")
+        return generator.randbytes(self.records * RECORD_BYTES)
--- a/chervilspindle/tools/load.py
+++ b/chervilspindle/tools/load.py
@@ -1,8 +1,8 @@
-"""Open-loop load and experiment tool.
+"""Open-loop load generator for experiments.
 
 Arrivals follow a Poisson process with a fixed seed and never wait for
-answers, and latency counts from the arrival that was due, so that a stall of
-the system or of the tool itself is not hidden (coordinated omission).
+answers. Latency is measured from the scheduled arrival time, so that a stall
+of the system or of the generator is not hidden (coordinated omission).
 """
 
 import fnmatch
@@ -24,9 +24,9 @@
 
 MAX_LATENCY_US = 60_000_000
 SIGNIFICANT_FIGURES = 3
-GRACE_S = 1.0
+ANSWER_GRACE_S = 1.0
 CONNECTIONS = 400
-READINESS_S = 0.25
+READINESS_INTERVAL_S = 0.25
 READINESS_TIMEOUT_S = 0.5
 
 _CAUSE = re.compile(
@@ -53,10 +53,11 @@
 
 
 class Change(msgspec.Struct, forbid_unknown_fields=True):
-    """A change of stand-ins whose name matches, at a time of the run.
+    """A change to the stand-ins that match a pattern, at a given time.
 
-    `zone` narrows it to one availability zone; `body` is what a stand-in
-    takes; see `endpoint.StandIn.change`.
+    `endpoints` is a shell-style pattern of names, `zone` limits the change
+    to one availability zone, and `body` is sent to each stand-in; see
+    `endpoint.StandIn.change`.
     """
 
     at_s: float
@@ -66,10 +67,10 @@
 
 
 class Scenario(msgspec.Struct, forbid_unknown_fields=True):
-    """One experiment.
+    """One load experiment.
 
-    `profile`, `scale`, `entries` and `signals` are for the script that
-    starts the processes: a signal is (at_s, process, name of the signal).
+    `profile`, `scale`, `entries` and `signals` are read by the script
+    that starts the processes; a signal is (at_s, process, signal name).
     """
 
     name: str
@@ -84,7 +85,7 @@
 
 
 class Target(typing.NamedTuple):
-    """Where to send: entries, tokens by customer, stand-ins and zones."""
+    """Addresses and zones of a deployment, and its customers' tokens."""
 
     entries: tuple[str, ...]
     token_by_name: dict[str, str]
@@ -99,7 +100,7 @@
         self.histogram = hdrh.histogram.HdrHistogram(
             1, MAX_LATENCY_US, SIGNIFICANT_FIGURES
         )
-        self.refusal_ms = hdrh.histogram.HdrHistogram(
+        self.refusal_histogram = hdrh.histogram.HdrHistogram(
             1, MAX_LATENCY_US, SIGNIFICANT_FIGURES
         )
         self.sent = 0
@@ -114,26 +115,26 @@
         self.without_retry_after = 0
 
     def summarise(self) -> dict:
-        """Return the figures; times are in ms."""
+        """Return the row of the report; latencies are in ms."""
         return {
             "sent": self.sent,
             "answered": self.answered,
             "goodput": round(self.good / max(1, self.sent), 4),
-            "p50": self._read(self.histogram, 50),
-            "p99": self._read(self.histogram, 99),
-            "p999": self._read(self.histogram, 99.9),
+            "p50": self._get_percentile_ms(self.histogram, 50),
+            "p99": self._get_percentile_ms(self.histogram, 99),
+            "p999": self._get_percentile_ms(self.histogram, 99.9),
             "coverage": round(
                 self.shards_answered / max(1, self.shards_total), 5
             ),
             "wrong": self.wrong,
             "mixed": self.mixed,
-            "refusal_p99": self._read(self.refusal_ms, 99),
+            "refusal_p99": self._get_percentile_ms(self.refusal_histogram, 99),
             "failures": dict(sorted(self.failures.items())),
             "missing": dict(sorted(self.missing.items())),
             "without_retry_after": self.without_retry_after,
         }
 
-    def _read(self, histogram, percentile):
+    def _get_percentile_ms(self, histogram, percentile):
         return round(histogram.get_value_at_percentile(percentile) / 1000.0, 2)
 
 
@@ -161,7 +162,7 @@
         )
         self.tally_by_key = {}
         self.ready = list(target.entries)
-        self.commands = 0
+        self.request_count = 0
         self.seed = seed
 
     @defer.inlineCallbacks
@@ -175,16 +176,16 @@
         """
         checks = task.LoopingCall(self._check_readiness)
         checks.clock = self.reactor
-        checks.start(READINESS_S)
+        checks.start(READINESS_INTERVAL_S)
         yield self._send_all(self.scenario.warmup_s)
         self.tally_by_key = {}
-        before = yield self._read_stand_ins()
-        causes_before = yield self._read_causes()
+        before = yield self._read_endpoint_counts()
+        causes_before = yield self._read_load_by_cause()
         for change in self.scenario.changes:
-            self.reactor.callLater(change.at_s, self._change, change)
+            self.reactor.callLater(change.at_s, self._apply_change, change)
         yield self._send_all(self.scenario.duration_s)
-        after = yield self._read_stand_ins()
-        causes_after = yield self._read_causes()
+        after = yield self._read_endpoint_counts()
+        causes_after = yield self._read_load_by_cause()
         checks.stop()
         report = self._report(before, after)
         report["causes"] = {
@@ -197,13 +198,13 @@
     def _send_all(self, duration_s):
         start = self.reactor.seconds() + 0.05
         for traffic in self.scenario.traffic:
-            self._plan(traffic, start, duration_s)
+            self._schedule_arrivals(traffic, start, duration_s)
         longest = max(t.deadline_ms for t in self.scenario.traffic)
         yield task.deferLater(
-            self.reactor, duration_s + longest / 1000 + GRACE_S
+            self.reactor, duration_s + longest / 1000 + ANSWER_GRACE_S
         )
 
-    def _plan(self, traffic, start, duration_s):
+    def _schedule_arrivals(self, traffic, start, duration_s):
         moment = self.random.expovariate(traffic.rate)
         while moment < duration_s:
             self.reactor.callLater(
@@ -218,36 +219,38 @@
         key = (traffic.customer, traffic.priority)
         tally = self.tally_by_key.setdefault(key, Tally())
         tally.sent += 1
-        self.commands += 1
+        self.request_count += 1
         address = self.random.choice(self.ready)
         token = self.target.token_by_name[traffic.customer]
         path, body = self._build(traffic)
         headers = {"Authorization": f"Bearer {token}"}
         if traffic.kind == "command":
-            headers["Idempotency-Key"] = f"load-{self.seed}-{self.commands}"
+            headers["Idempotency-Key"] = (
+                f"load-{self.seed}-{self.request_count}"
+            )
         deferred = self.client.post(
             f"http://{address}{path}",
             data=json.dumps(body).encode(),
             headers=headers,
-            timeout=traffic.deadline_ms / 1000 + GRACE_S,
+            timeout=traffic.deadline_ms / 1000 + ANSWER_GRACE_S,
         )
-        deferred.addCallback(self._read, traffic, tally, due)
-        deferred.addErrback(self._fail, tally)
+        deferred.addCallback(self._record_response, traffic, tally, due)
+        deferred.addErrback(self._record_client_error, tally)
 
     def _check_readiness(self):
-        """Ask each entry, as the platform's balancer does."""
+        """Probe ``/readyz`` of each entry as the load balancer does."""
         for address in self.target.entries:
             deferred = self.client.get(
                 f"http://{address}/readyz", timeout=READINESS_TIMEOUT_S
             )
             deferred.addCallbacks(
-                self._note_readiness,
+                self._record_readiness,
                 lambda _, address: self._set_ready(address, False),
                 callbackArgs=(address,),
                 errbackArgs=(address,),
             )
 
-    def _note_readiness(self, response, address):
+    def _record_readiness(self, response, address):
         self._set_ready(address, response.code == 200)
         return treq.content(response)
 
@@ -268,7 +271,7 @@
                 **common,
                 "service": service,
                 "key": f"{service}/0001",
-                "command": {"hold": self.commands},
+                "command": {"hold": self.request_count},
             }
         return "/v1/query", {
             **common,
@@ -278,13 +281,13 @@
         }
 
     @defer.inlineCallbacks
-    def _read(self, response, traffic, tally, due):
+    def _record_response(self, response, traffic, tally, due):
         data = yield treq.content(response)
         elapsed_us = max(1, int((self.reactor.seconds() - due) * 1e6))
         elapsed_us = min(elapsed_us, MAX_LATENCY_US)
         body = json.loads(data)
         if response.code != 200:
-            self._count_refusal(tally, response, body, elapsed_us)
+            self._record_refusal(tally, response, body, elapsed_us)
             return
         tally.answered += 1
         tally.histogram.record_value(elapsed_us)
@@ -299,20 +302,20 @@
             tally.missing[reason] = tally.missing.get(reason, 0) + 1
         in_time = elapsed_us <= traffic.deadline_ms * 1000
         tally.good += in_time and coverage["complete"]
-        self._check(traffic, tally, body)
+        self._check_results(traffic, tally, body)
 
-    def _count_refusal(self, tally, response, body, elapsed_us):
+    def _record_refusal(self, tally, response, body, elapsed_us):
         kind = body.get("kind", str(response.code))
         run = "not_run" if body.get("not_run") else "may_have_run"
         name = f"{kind}:{run}"
         tally.failures[name] = tally.failures.get(name, 0) + 1
         if body.get("not_run"):
-            tally.refusal_ms.record_value(elapsed_us)
+            tally.refusal_histogram.record_value(elapsed_us)
         if not response.headers.hasHeader("retry-after"):
             tally.without_retry_after += 1
 
-    def _check(self, traffic, tally, body):
-        """Compare each result with the right answer."""
+    def _check_results(self, traffic, tally, body):
+        """Count results that are wrong or from another snapshot."""
         for row in body["results"]:
             low, high = map(int, row["shard"].split("-"))
             if any(r["snapshot"] != body["snapshot"] for r in row["value"]):
@@ -323,11 +326,11 @@
             if row["value"] != expected:
                 tally.wrong += 1
 
-    def _fail(self, failure, tally):
+    def _record_client_error(self, failure, tally):
         name = f"client:{failure.type.__name__}"
         tally.failures[name] = tally.failures.get(name, 0) + 1
 
-    def _change(self, change):
+    def _apply_change(self, change):
         data = json.dumps(change.body).encode()
         for name, address in self.target.address_by_endpoint.items():
             zone = self.target.zone_by_endpoint.get(name, "")
@@ -339,7 +342,7 @@
                 ).addCallbacks(treq.content, lambda _: None)
 
     @defer.inlineCallbacks
-    def _read_stand_ins(self):
+    def _read_endpoint_counts(self):
         counts_by_name = {}
         for name, address in self.target.address_by_endpoint.items():
             try:
@@ -352,7 +355,7 @@
         return counts_by_name
 
     @defer.inlineCallbacks
-    def _read_causes(self):
+    def _read_load_by_cause(self):
         """Sum the entries' counters of extra load, by cause."""
         total_by_cause = {}
         for address in self.target.entries:
@@ -394,7 +397,7 @@
 
 
 def load_scenario(path: str):
-    """Read a scenario file in JSON with comments.
+    """Read a scenario from a file of JSON with comments.
 
     Returns
     -------
--- a/chervilspindle/tools/load_test.py
+++ b/chervilspindle/tools/load_test.py
@@ -1,4 +1,4 @@
-"""Tests of the load tool: who is sent callers, and what counts."""
+"""Tests of the load generator: choice of entries, arrivals, summary."""
 
 import glob
 import os
@@ -23,13 +23,13 @@
 @pytest.mark.parametrize(
     "path", sorted(glob.glob(os.path.join(SCENARIOS, "*.json")))
 )
-def test_kept_scenarios_are_correct(path):
+def test_scenario_files_are_valid(path):
     scenario, mistakes = load.load_scenario(path)
     assert not mistakes
     assert scenario.name == os.path.basename(path).removesuffix(".json")
 
 
-def test_entry_that_is_not_ready_gets_no_callers():
+def test_entry_that_is_not_ready_gets_no_requests():
     generator = build_generator()
     generator._set_ready("a:1", False)
     assert generator.ready == ["b:1"]
@@ -37,7 +37,7 @@
     assert sorted(generator.ready) == ["a:1", "b:1"]
 
 
-def test_callers_go_somewhere_even_if_no_entry_is_ready():
+def test_last_entry_is_kept_when_no_entry_is_ready():
     generator = build_generator()
     generator._set_ready("a:1", False)
     generator._set_ready("b:1", False)
@@ -49,7 +49,7 @@
         generator = build_generator()
         moments = []
         generator._send = lambda traffic, due: moments.append(due)
-        generator._plan(generator.scenario.traffic[0], 0.0, 2.0)
+        generator._schedule_arrivals(generator.scenario.traffic[0], 0.0, 2.0)
         generator.reactor.advance(3.0)
         return moments
 
@@ -58,7 +58,7 @@
     assert 60 < len(first) < 140
 
 
-def test_summary_counts_only_whole_answers_in_time():
+def test_summary_reports_goodput_and_coverage():
     tally = load.Tally()
     tally.sent = 4
     tally.good = 3
--- a/chervilspindle/tools/soak.py
+++ b/chervilspindle/tools/soak.py
@@ -178,7 +178,7 @@
                 backend = backends.Backend(
                     loop, clock, endpoint_id, service, "z1", f"{ip}:{ports[4]}"
                 )
-                backend.born = 1000
+                backend.incarnation = 1000
                 proxy = fault_proxy.FaultProxy(loop, backend.address)
                 backend.proxy_address = f"{ip}:{ports[4] + 1}"
                 self.backends.append(backend)
@@ -584,7 +584,7 @@
             and len(backend.runs) > count
         ):
             self.record_violation("work after draining", backend.endpoint_id)
-        backend.born += 1000
+        backend.incarnation += 1000
         backend.sequence = 0
         backend.state = "ready"
         self.left_at_by_id.pop(backend.endpoint_id, None)
