--- a/chervilspindle/tools/endpoint.py
+++ b/chervilspindle/tools/endpoint.py
@@ -1,11 +1,11 @@
 """Stand-in for an endpoint of the platform.
 
-It models what the platform gives: slots, a connection limit, the cost of a
+It models the behaviour of endpoints: slots, a connection limit, the cost of a
 new connection, zone delay, drain, cold start, shedding, cancellation,
 deadlines, load reports that lag or lie, stragglers, connections that go
-silent, snapshots and repartition. It counts what went wrong, so that a test
-can tell whether an endpoint was pushed past what it carries, and keeps a
-log of every command that ran.
+silent, snapshots and repartition. It counts overload and other events, so
+that a test can check whether an endpoint was loaded beyond its limits, and
+logs every command that ran.
 """
 
 import json
@@ -32,12 +32,12 @@
 
 ANNOUNCE_S = 1.0
 ANNOUNCE_TIMEOUT_S = 0.8
-RESULTS_KEPT = 2000
-RESTART_DELAY_S = 0.02  # lets the answer to the change out first
+MAX_RESULTS = 2000
+RESTART_DELAY_S = 0.02  # lets the response be sent before the restart
 
 
 class EndpointConfig(msgspec.Struct, frozen=True):
-    """One stand-in endpoint.
+    """Configuration of one stand-in endpoint.
 
     `holdings` are rows (snapshot, low, high); times are in milliseconds.
     """
@@ -66,7 +66,7 @@
 
 
 class Counts(msgspec.Struct):
-    """What a stand-in has seen."""
+    """Counters of one stand-in."""
 
     queries: int = 0
     commands: int = 0
@@ -92,15 +92,15 @@
     straggler_share, straggler_ms : float
         Override the configured ones if not negative.
     in_use : int
-        What load reports claim, if not negative.
+        Reported in place of the true load, if not negative.
     report_lag_s : float
-        Load reports are this old.
+        Age of the load that is reported.
     shed_share : float
-        Part of the requests that is shed.
+        Share of the requests that are shed.
     fail_commands : bool
-        Commands run and answer a failure.
+        Commands run but answer 500.
     mute : bool
-        Announcements stop.
+        No announcements are sent periodically.
     """
 
     extra_ms: float = 0.0
@@ -114,19 +114,19 @@
 
 
 class Channel(http.HTTPChannel):
-    """A connection that can be made silent."""
+    """A connection that can be made to drop data silently."""
 
     silent = False
     served = 0
 
     def dataReceived(self, data):
-        """Drop what arrives on a silent connection."""
+        """Discard data that arrives on a silent connection."""
         if not self.silent:
             super().dataReceived(data)
 
     def connectionLost(self, reason):
-        """Count the connection out."""
-        self.factory.count_out(self)
+        """Remove the connection from the site."""
+        self.factory.remove_channel(self)
         super().connectionLost(reason)
 
 
@@ -157,8 +157,8 @@
         )
         return channel
 
-    def count_out(self, channel):
-        """Forget a closed connection."""
+    def remove_channel(self, channel):
+        """Stop counting a closed connection towards the limit."""
         self.channels.discard(channel)
 
 
@@ -196,7 +196,7 @@
         self.result_by_id = {}
         self.load_history = []
         self.port = None
-        self.announcing = None
+        self.announce_timer = None
         self.agent = treq.client.HTTPClient(
             web_client.Agent(
                 reactor, pool=web_client.HTTPConnectionPool(reactor)
@@ -205,7 +205,7 @@
 
     @defer.inlineCallbacks
     def start(self):
-        """Listen and begin to announce."""
+        """Listen and start periodic announcements."""
         host, number = self.config.address.rsplit(":", 1)
         listener = internet_endpoints.TCP4ServerEndpoint(
             self.reactor, int(number), interface=host
@@ -215,19 +215,21 @@
             self.state = "warming"
             self.reactor.callLater(self.config.cold_ms / 1000, self._warm_up)
         delay = self.random.random() * ANNOUNCE_S / 4
-        self.announcing = self.reactor.callLater(delay, self._announce_again)
+        self.announce_timer = self.reactor.callLater(
+            delay, self._announce_periodically
+        )
 
     def stop(self):
         """Stop at once, as a crash would."""
-        if self.announcing is not None and self.announcing.active():
-            self.announcing.cancel()
+        if self.announce_timer is not None and self.announce_timer.active():
+            self.announce_timer.cancel()
         for channel in list(self.site.channels):
             channel.transport.abortConnection()
         return defer.maybeDeferred(self.port.stopListening)
 
     @defer.inlineCallbacks
     def restart(self, down_ms: float, cold_ms: float):
-        """Crash, and come back as a new incarnation that is cold at first."""
+        """Stop abruptly, then start as a new incarnation that warms up."""
         yield self.stop()
         for run in list(self.run_by_id.values()):
             if run.timer.active():
@@ -242,18 +244,18 @@
         yield self.start()
 
     def drain(self):
-        """Announce that this endpoint leaves."""
+        """Announce that this endpoint is draining."""
         self.state = "draining"
         self.drained_at = self.reactor.seconds()
         self._announce()
 
     def silence(self):
-        """Make all open connections silent, while new ones work."""
+        """Make all open connections silent; new connections still work."""
         for channel in self.site.channels:
             channel.silent = True
 
     def set_holdings(self, holdings):
-        """Change the snapshots and ranges that are held."""
+        """Replace the snapshots and key ranges served, and announce them."""
         self.holdings = tuple(rows.Holding(*row) for row in holdings)
         self._announce()
 
@@ -273,18 +275,18 @@
 
     @app.route("/run/<run_id>", methods=["DELETE"])
     def cancel(self, request, run_id):
-        """End a running request."""
+        """Cancel a running request."""
         run = self.run_by_id.get(run_id)
         if run is None:
             return _reply(request, 404, {"state": "unknown"})
         self.counts.cancelled += 1
         run.timer.cancel()
-        self._end(run, 499, {"kind": "cancelled", "not_run": False})
+        self._finish(run, 499, {"kind": "cancelled", "not_run": False})
         return _reply(request, 200, {"state": "cancelled"})
 
     @app.route("/run/<run_id>", methods=["GET"])
     def show_run(self, request, run_id):
-        """Tell what became of a request."""
+        """Return the state of a request, and its result if finished."""
         if run_id in self.run_by_id:
             return _reply(request, 200, {"state": "running"})
         if run_id in self.result_by_id:
@@ -310,11 +312,11 @@
 
     @app.route("/stand-in", methods=["POST"])
     def change(self, request):
-        """Switch faults.
+        """Switch faults or change the state of the endpoint.
 
         ``faults`` (of `Faults`), ``drain``, ``silence``, ``holdings``, and
-        ``restart``: milliseconds until it is up again, then cold for as long
-        as ``cold_ms`` says.
+        ``restart``: milliseconds that it is down, after which it warms up for
+        ``cold_ms``.
         """
         body = json.loads(request.content.read())
         if "faults" in body:
@@ -346,8 +348,8 @@
             return _reply(request, 503, refusal)
         if self.state == "draining":
             self.counts.work_after_drain += 1
-            late = self.reactor.seconds() - self.drained_at
-            self.counts.last_work_after_drain_ms = late * 1000
+            elapsed_s = self.reactor.seconds() - self.drained_at
+            self.counts.last_work_after_drain_ms = elapsed_s * 1000
         delay_ms = self._draw_delay_ms(request)
         limit_ms = float(request.getHeader("x-deadline-ms") or 1e9)
         deferred = defer.Deferred()
@@ -435,18 +437,18 @@
         status = 200
         if self.faults.fail_commands and "command" in body:
             status, result["kind"] = 500, "failed"
-        self._end(self.run_by_id[run_id], status, result)
+        self._finish(self.run_by_id[run_id], status, result)
 
     def _expire(self, run_id):
         self.counts.expired += 1
         run = self.run_by_id[run_id]
-        self._end(run, 504, {"kind": "deadline", "not_run": False})
+        self._finish(run, 504, {"kind": "deadline", "not_run": False})
 
-    def _end(self, run, status, result):
+    def _finish(self, run, status, result):
         del self.run_by_id[run.run_id]
         result.setdefault("request_id", run.run_id)
         self.result_by_id[run.run_id] = result
-        if len(self.result_by_id) > RESULTS_KEPT:
+        if len(self.result_by_id) > MAX_RESULTS:
             del self.result_by_id[next(iter(self.result_by_id))]
         run.deferred.callback((status, result))
 
@@ -456,9 +458,9 @@
             return defer.Deferred()
         return _reply(request, status, result)
 
-    def _announce_again(self):
-        self.announcing = self.reactor.callLater(
-            ANNOUNCE_S, self._announce_again
+    def _announce_periodically(self):
+        self.announce_timer = self.reactor.callLater(
+            ANNOUNCE_S, self._announce_periodically
         )
         if not self.faults.mute:
             self._announce()
@@ -486,10 +488,10 @@
             timeout=ANNOUNCE_TIMEOUT_S,
         )
         deferred.addCallback(treq.content)
-        deferred.addErrback(lambda _: self._retry_announce())
+        deferred.addErrback(lambda _: self._log_announce_failure())
 
-    def _retry_announce(self):
-        LOGGER.debug("announcement failed")
+    def _log_announce_failure(self):
+        LOGGER.debug("announcement to an entry failed")
 
     def _report_load(self):
         if self.faults.in_use >= 0:
@@ -513,7 +515,7 @@
         self.handle = open(path, "a", encoding="utf-8") if path else None
 
     def __call__(self, row):
-        """Add one run."""
+        """Append one command that ran."""
         self.rows.append(row)
         if self.handle is not None:
             self.handle.write(json.dumps(row) + "\n")
