--- a/chervilspindle/tools/demo.py
+++ b/chervilspindle/tools/demo.py
@@ -1,4 +1,4 @@
-"""A whole deployment in one process, on one loop, that shows what it does."""
+"""Runs a whole deployment on one event loop and prints what it does."""
 
 import json
 import logging
@@ -113,7 +113,9 @@
                 if owned == len(self.stand_ins):
                     return
             yield task.deferLater(self.reactor, POLL_S)
-        raise RuntimeError("endpoints did not get owners in time")
+        raise RuntimeError(
+            f"not all endpoints have an owner after {READY_TIMEOUT_S} s"
+        )
 
 
 @defer.inlineCallbacks
@@ -201,7 +203,9 @@
         _print(f"command, {attempt}", answer)
     _print("times it ran", len(demo.run_log.rows))
     if len(demo.run_log.rows) != 1:
-        raise RuntimeError("a command did not run exactly once")
+        raise RuntimeError(
+            f"the command ran {len(demo.run_log.rows)} times instead of once"
+        )
 
 
 def _print(title, value):
@@ -209,4 +213,6 @@
 
 
 def _fail(code):
-    logging.getLogger(__name__).error("a server failed with code %d", code)
+    logging.getLogger(__name__).error(
+        "server in the demonstration failed with exit code %d", code
+    )
--- a/chervilspindle/tools/deployment.py
+++ b/chervilspindle/tools/deployment.py
@@ -1,7 +1,7 @@
-"""Builds settings, lists and stand-ins of a deployment on one machine.
+"""Builds settings, lists and stand-in endpoints for one machine.
 
-The demonstration, the scenarios and the experiments use it, with the two
-deployments of the users at the sizes of their brief.
+The demonstration, the scenarios and the experiments use it. It contains
+the two users' deployments at the sizes that they specified.
 """
 
 import json
@@ -18,7 +18,7 @@
 
 
 class ServiceGroup(typing.NamedTuple):
-    """Services of one kind, each with the same endpoints.
+    """Services of one kind, each with the same number of endpoints.
 
     `service_ms` is the typical time of one request, `connect_ms` the cost
     of a new connection.
@@ -142,15 +142,15 @@
 
 
 class PortRange:
-    """Hands out consecutive ports."""
+    """Allocates consecutive ports."""
 
     def __init__(self, first: int):
-        self.following = first
+        self.next_port = first
 
-    def take(self) -> str:
-        """Return the next address."""
-        self.following += 1
-        return f"{HOST}:{self.following - 1}"
+    def allocate(self) -> str:
+        """Return the address with the next port."""
+        self.next_port += 1
+        return f"{HOST}:{self.next_port - 1}"
 
 
 def build_deployment(
@@ -181,8 +181,8 @@
     control_rows = [
         {
             "vm_id": f"control-{number}",
-            "peer_address": ports.take(),
-            "raft_address": ports.take(),
+            "peer_address": ports.allocate(),
+            "raft_address": ports.allocate(),
         }
         for number in range(1, controls + 1)
     ]
@@ -208,8 +208,8 @@
             "vm_id": f"entry-{index + 1}",
             "zone": ZONES[index % len(ZONES)],
             "roles": ["entry"],
-            "http_address": ports.take(),
-            "peer_address": ports.take(),
+            "http_address": ports.allocate(),
+            "peer_address": ports.allocate(),
         }
         for index in range(entries)
     )
@@ -270,7 +270,7 @@
 
 
 def list_http_addresses(deployment: Deployment) -> list[str]:
-    """Return where the entries listen for callers."""
+    """Return the addresses on which entries serve callers."""
     return [row["http_address"] for row in deployment.entry_settings]
 
 
@@ -285,7 +285,7 @@
                 yield {
                     "endpoint": f"{service}.{replica}",
                     "service": service,
-                    "address": ports.take(),
+                    "address": ports.allocate(),
                     "zone": ZONES[(number + replica) % len(ZONES)],
                     "slots": group.slots,
                     "connections": group.connections,
--- a/chervilspindle/tools/records.py
+++ b/chervilspindle/tools/records.py
@@ -1,7 +1,7 @@
-"""Small index of made-up records, so that each search has a right answer.
+"""Small index of generated records with a known answer to each search.
 
 The records of a service depend only on its name and the snapshot; each
-names its snapshot, so that a mixed answer can be seen.
+contains its snapshot, so that answers of mixed snapshots can be detected.
 """
 
 import functools
@@ -56,8 +56,8 @@
     Parameters
     ----------
     query : dict
-        ``key`` asks for one record; ``text`` for those whose name or
-        subject contains it; an empty query for all.
+        ``key`` selects one record, ``text`` those whose name or subject
+        contains it; an empty query selects all.
     """
     text = str(query.get("text", "")).lower()
     key = query.get("key")
