--- a/chervilspindle/routing/data_path_test.py
+++ b/chervilspindle/routing/data_path_test.py
@@ -390,7 +390,7 @@
 def test_a_non_idempotent_request_is_not_resent_after_a_lost_answer(run_test):
     async def test(world):
         for zone in "ab":
-            world.backend_by_id[f"desk-{zone}"].lose_share = 1.0
+            world.backend_by_id[f"desk-{zone}"].lost_answer_share = 1.0
         status, _, _ = await world.ask("/once/x", "id-1", "POST", b"b")
         assert status == 502
         assert len(world.list_runs("desk")) == 1
--- a/chervilspindle/tools/backends.py
+++ b/chervilspindle/tools/backends.py
@@ -65,7 +65,7 @@
         self.paused = False
         self.refusing = False
         self.failing = False
-        self.lose_share = 0.0
+        self.lost_answer_share = 0.0
         self.runs = []
         self.paused_exchanges = []
         self.sequence = 0
@@ -154,7 +154,7 @@
         transport = exchange.connection.transport
         if transport.is_closing():
             return
-        if self.random.random() < self.lose_share:
+        if self.random.random() < self.lost_answer_share:
             transport.abort()
             return
         stamp = f"{self.endpoint_id}.{request_id.decode()}"
--- a/chervilspindle/tools/soak.py
+++ b/chervilspindle/tools/soak.py
@@ -547,14 +547,14 @@
         elif kind == "shed":
             backend.refusing = True
         else:
-            backend.lose_share = 0.3
+            backend.lost_answer_share = 0.3
         await asyncio.sleep(self.random.uniform(0.2, 4.0))
         self._clear_endpoint_faults(backend)
 
     def _clear_endpoint_faults(self, backend):
         self.proxy_by_id[backend.endpoint_id].clear_faults()
         backend.failing = backend.refusing = False
-        backend.lose_share = 0.0
+        backend.lost_answer_share = 0.0
         backend.resume()
 
     async def _drain_endpoint(self):
