--- a/chervilspindle/tools/backends.py
+++ b/chervilspindle/tools/backends.py
@@ -47,7 +47,7 @@
         Answers 503 to all requests without running them.
     failing : bool
         Runs all requests and answers 500.
-    lose_share : float
+    lost_answer_share : float
         Share of the requests that run but whose connection is then
         aborted instead of an answer.
     """
